--- a/internal/core/entry/address_test.go
+++ b/internal/core/entry/address_test.go
@@ -39,7 +39,7 @@
 	}
 	step(list("old:1"))
 	step(roster(1, false))
-	manager.Need(peers.Entry, "a1", "old:1")
+	manager.Acquire(peers.Entry, "a1", "old:1")
 	step(core.PeerUp{Peer: "a1", Incarnation: 1})
 	step(core.PeerDown{Peer: "a1", Planned: true})
 	step(list("new:1"))
--- a/internal/core/entry/agents.go
+++ b/internal/core/entry/agents.go
@@ -133,7 +133,7 @@
 }
 
 func (p *Part) follow(a *agent) {
-	if p.peers.Wants(peers.Entry, a.host) {
+	if p.peers.AcquiredBy(peers.Entry, a.host) {
 		p.connect(a)
 	}
 }
@@ -157,7 +157,7 @@
 		p.peerUp(core.PeerUp{Peer: a.host, Incarnation: p.peers.Incarnation(a.host)})
 		return
 	}
-	p.effects = append(p.effects, p.peers.Need(peers.Entry, a.host, a.address)...)
+	p.effects = append(p.effects, p.peers.Acquire(peers.Entry, a.host, a.address)...)
 }
 
 func (p *Part) welcome(a *agent, m core.Welcome) {
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -125,6 +125,6 @@
 	if a.up {
 		return
 	}
-	p.effects = append(p.effects, p.peers.Forget(peers.Entry, a.host)...)
+	p.effects = append(p.effects, p.peers.Release(peers.Entry, a.host)...)
 	p.loseAll(a)
 }
--- a/internal/core/peers/peers.go
+++ b/internal/core/peers/peers.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// Need notes a user's wish for a connection to a host at an address. It dials
+// Acquire notes a user's wish for a connection to a host at an address. It dials
 // at once if the host is new or its address changed, and otherwise leaves the
 // schedule alone.
-func (m *Manager) Need(user User, host core.HostID, address string) []core.Effect {
+func (m *Manager) Acquire(user User, host core.HostID, address string) []core.Effect {
 	p := m.peers[host]
 	if p == nil {
 		p = &peer{redialAt: core.Never}
@@ -89,8 +89,8 @@
 	return core.Dial{Peer: host, Address: p.address}
 }
 
-// Forget ends a user's wish for a connection to a host.
-func (m *Manager) Forget(user User, host core.HostID) []core.Effect {
+// Release ends a user's wish for a connection to a host.
+func (m *Manager) Release(user User, host core.HostID) []core.Effect {
 	p := m.peers[host]
 	if p == nil {
 		return nil
@@ -120,8 +120,8 @@
 // parts greet; without it the entry's later Hello would end the reports.
 func (m *Manager) Collecting() bool { return m.collecting }
 
-// Wants tells whether the user asked for a connection to the host.
-func (m *Manager) Wants(user User, host core.HostID) bool {
+// AcquiredBy tells whether the user asked for a connection to the host.
+func (m *Manager) AcquiredBy(user User, host core.HostID) bool {
 	p := m.peers[host]
 	return p != nil && p.users&user != 0
 }
--- a/internal/core/permits/permits.go
+++ b/internal/core/permits/permits.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// Life bounds a grant whose agent never says that it is done.
-	Life = 15 * time.Minute
+	// GrantLifetime bounds a grant whose agent never says that it is done.
+	GrantLifetime = 15 * time.Minute
 	// reservedLanes are left free by background reads, for the next cold start.
 	reservedLanes = 1
 	// maxWaiting bounds the background requests that are kept; agents ask
@@ -99,7 +99,7 @@
 
 func (p *Part) ask(who id, m core.PermitRequest) {
 	if m.Priority == api.PriorityInteractive {
-		p.active[who] = p.now.Add(Life)
+		p.active[who] = p.now.Add(GrantLifetime)
 		return
 	}
 	if len(p.waiting) == maxWaiting {
@@ -142,10 +142,10 @@
 	for len(p.waiting) > 0 && len(p.active) < max(1, p.lanes-reservedLanes) {
 		next := p.waiting[0]
 		p.waiting = p.waiting[1:]
-		p.active[next.id] = p.now.Add(Life)
+		p.active[next.id] = p.now.Add(GrantLifetime)
 		p.nextStart = max(p.nextStart, p.now)
 		p.out = append(p.out, core.Send{To: next.id.host, Message: core.PermitGrant{
-			Sequence: next.id.sequence, ValidFor: Life, StartIn: p.nextStart.Sub(p.now),
+			Sequence: next.id.sequence, ValidFor: GrantLifetime, StartIn: p.nextStart.Sub(p.now),
 		}})
 		p.nextStart = p.nextStart.Add(time.Duration(float64(time.Second) / max(p.rate, 1)))
 	}
--- a/internal/core/permits/permits_test.go
+++ b/internal/core/permits/permits_test.go
@@ -59,7 +59,7 @@
 }
 
 // An agent dies in the middle of a read and never says that it is done. Its
-// lane must come free, when its connection ends or at the latest after Life,
+// lane must come free, when its connection ends or at the latest after GrantLifetime,
 // or prefetching stops for good.
 func TestDeadAgentFreesItsLane(t *testing.T) {
 	f := newFixture()
--- a/internal/core/placement/balance.go
+++ b/internal/core/placement/balance.go
@@ -59,10 +59,10 @@
 	return 0
 }
 
-// Better returns a host that is better for the slot by the margin than the
+// BetterHost returns a host that is better for the slot by the margin than the
 // one it is at, if any. Zones stay as even as they are: another zone is taken
 // only if it has fewer slots of the model.
-func (p *Planner) Better(s Slot, host core.HostID) (core.HostID, bool) {
+func (p *Planner) BetterHost(s Slot, host core.HostID) (core.HostID, bool) {
 	from := p.nodes[host]
 	if from == nil {
 		return "", false
@@ -87,9 +87,9 @@
 	return best.node.host.ID, true
 }
 
-// Roomier returns the best of the hosts that have room for the slot now, by
+// BestWithRoom returns the best of the hosts that have room for the slot now, by
 // the caller's knowledge; pressures are not compared with the present host's.
-func (p *Planner) Roomier(s Slot, host core.HostID, hasRoom func(core.HostID) bool) (core.HostID, bool) {
+func (p *Planner) BestWithRoom(s Slot, host core.HostID, hasRoom func(core.HostID) bool) (core.HostID, bool) {
 	from := p.nodes[host]
 	if from == nil {
 		return "", false
--- a/internal/core/steward/connection_test.go
+++ b/internal/core/steward/connection_test.go
@@ -13,7 +13,7 @@
 // same happens to a host that is missing from the platform's list for once.
 func TestConnectionHeldByEntryPart(t *testing.T) {
 	manager := peers.New(1)
-	manager.Need(peers.Entry, "a1", "a1:1")
+	manager.Acquire(peers.Entry, "a1", "a1:1")
 	manager.Step(0, core.PeerUp{Peer: "a1", Incarnation: 7})
 	p := New(Config{Host: "e1", Incarnation: 1, Timings: testTimings()}, manager)
 	p.startCollecting(0)
--- a/internal/core/steward/hosts.go
+++ b/internal/core/steward/hosts.go
@@ -133,7 +133,7 @@
 }
 
 func (p *Part) connect(now core.Time, h *hostState) {
-	effects := p.peers.Need(peers.Steward, h.id, h.address)
+	effects := p.peers.Acquire(peers.Steward, h.id, h.address)
 	h.needed = true
 	p.emit(effects...)
 	switch {
@@ -154,7 +154,7 @@
 		return
 	}
 	h.needed = false
-	effects := p.peers.Forget(peers.Steward, h.id)
+	effects := p.peers.Release(peers.Steward, h.id)
 	if len(effects) > 0 { // else the entry part keeps the connection
 		h.up, h.lastDownAt = false, p.step
 	}
--- a/internal/core/steward/plan.go
+++ b/internal/core/steward/plan.go
@@ -296,7 +296,7 @@
 			if hosts[i] == "" {
 				continue
 			}
-			if better, found := pl.planner.Better(n.slot, hosts[i]); found {
+			if better, found := pl.planner.BetterHost(n.slot, hosts[i]); found {
 				pl.planner.Vacate(n.slot, hosts[i])
 				pl.planner.Occupy(n.slot, better)
 				hosts[i], changed = better, true
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -148,7 +148,7 @@
 	if !slices.Contains(pl.hosts[m.owner].report.Crowded, m.slot.ID) {
 		return false
 	}
-	next, found := pl.planner.Roomier(m.slot, m.owner, func(id core.HostID) bool {
+	next, found := pl.planner.BestWithRoom(m.slot, m.owner, func(id core.HostID) bool {
 		return pl.joined(id) && pl.hosts[id].load.freeMiB >= m.slot.MemoryMiB
 	})
 	if !found {
@@ -165,7 +165,7 @@
 	if pl.now < pl.rests[m.slot.ID].pressure || pl.draftOf(m).State != core.SlotOwned {
 		return false
 	}
-	next, found := pl.planner.Better(m.slot, m.owner)
+	next, found := pl.planner.BetterHost(m.slot, m.owner)
 	if !found || !pl.joined(next) {
 		return false
 	}
