--- a/internal/core/entry/address_test.go
+++ b/internal/core/entry/address_test.go
@@ -8,12 +8,12 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// An agent is started again and never gets ready: it has no configuration, since
-// no entry connects. It came back at a new address, which the platform's list
-// names. The first dial there fails on a busy machine; the entry part, which still
-// goes by the roster's old address, then asks for that, and the manager dials it
-// for good. The roster would only be written anew once the agent is connected.
-func TestAgentIsDialledAtItsNewAddressAfterAFailedDial(t *testing.T) {
+// Guards against a restarted agent that never becomes ready: it has no configuration,
+// since no entry connects. It came back at a new address, which the platform's list has.
+// The first dial there fails on a busy machine; the entry part, which still uses the old
+// address from the roster, then requests that one, and the manager keeps dialling it. The
+// roster is only rewritten once the agent is connected.
+func TestNewAddressIsDialledAfterFailedDial(t *testing.T) {
 	manager := peers.New(1)
 	p := New(Config{Host: "e1", Incarnation: 1}, manager)
 	now := core.Time(time.Hour)
@@ -44,7 +44,7 @@
 	step(core.PeerDown{Peer: "a1", Planned: true})
 	step(list("new:1"))
 	if dialled != "new:1" {
-		t.Errorf("dialled %q after the list named the new address", dialled)
+		t.Errorf("dialled %q after the list gave the new address", dialled)
 	}
 	step(core.PeerDown{Peer: "a1"})
 	step(roster(2, true)) // written for another reason, still with the old address
--- a/internal/core/entry/admit.go
+++ b/internal/core/entry/admit.go
@@ -9,39 +9,39 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// waitingLoad counts what the entry holds.
-type waitingLoad struct {
-	requests  int // without an answer's head
+// queueUsage counts the requests and request bodies that the entry holds.
+type queueUsage struct {
+	requests  int // response head not sent yet
 	bytes     int64
 	byAccount map[string]int
 }
 
-func (w *waitingLoad) add(r *request) {
-	w.requests++
-	w.byAccount[r.arrived.ClientAccount]++
-	w.bytes += int64(len(r.arrived.Body))
+func (q *queueUsage) add(r *request) {
+	q.requests++
+	q.byAccount[r.arrived.ClientAccount]++
+	q.bytes += int64(len(r.arrived.Body))
 }
 
-// headSent takes the request off the waiting ones; its body stays held.
-func (w *waitingLoad) headSent(r *request) {
-	w.requests--
+// headSent removes the request from the waiting ones; its body stays counted.
+func (q *queueUsage) headSent(r *request) {
+	q.requests--
 	account := r.arrived.ClientAccount
-	if w.byAccount[account]--; w.byAccount[account] == 0 {
-		delete(w.byAccount, account)
+	if q.byAccount[account]--; q.byAccount[account] == 0 {
+		delete(q.byAccount, account)
 	}
 }
 
-func (w *waitingLoad) drop(r *request) {
-	w.bytes -= int64(len(r.arrived.Body))
+func (q *queueUsage) release(r *request) {
+	q.bytes -= int64(len(r.arrived.Body))
 	if !r.stream.head {
-		w.headSent(r)
+		q.headSent(r)
 	}
 }
 
-// admit refuses a request at once or takes it in and routes it.
+// admit refuses a request at once or accepts and routes it.
 func (p *Part) admit(ev core.RequestArrived) {
 	if p.requests[ev.ID] != nil {
-		return // the same event twice; the first one's answer is on its way
+		return // duplicate event; the first one is answered
 	}
 	t, result := p.resolve(&ev.Target)
 	if p.stop.refuses(p.now) {
@@ -49,58 +49,59 @@
 	}
 	if result == code.OK {
 		ev.Priority = cmp.Or(ev.Priority, t.priority)
-		result = p.room(&ev)
+		result = p.checkQueue(&ev)
 	}
 	if result != code.OK {
 		p.end(ev.ID, result, 0)
 		return
 	}
-	r := &request{arrived: ev, began: p.now, deadline: p.now.Add(ev.Timeout)}
+	r := &request{arrived: ev, arrivedAt: p.now, deadline: p.now.Add(ev.Timeout)}
 	r.timer = r.deadline
 	p.requests[ev.ID] = r
 	heap.Push(&p.timers, r)
-	p.waiting.add(r)
-	p.retries.earn()
+	p.queue.add(r)
+	p.retries.deposit()
 	p.route(r, &t)
 }
 
-// room checks the bounded queue. From half full on, batch work and client accounts
-// above their weighted share are refused, the least valuable first: a flood
-// from one client account then leaves the other half to the rest.
-func (p *Part) room(ev *core.RequestArrived) code.Code {
-	w, limit := &p.waiting, p.limits.QueueRequests
-	if w.requests >= limit || w.bytes+int64(len(ev.Body)) > p.limits.QueueBytes {
+// checkQueue enforces the bounds of the queue. Once the queue is half full, batch
+// requests and client accounts above their weighted share are refused first, so that one
+// client account's burst leaves the other half to the rest.
+func (p *Part) checkQueue(ev *core.RequestArrived) code.Code {
+	q, limit := &p.queue, p.limits.QueueRequests
+	if q.requests >= limit || q.bytes+int64(len(ev.Body)) > p.limits.QueueBytes {
 		return code.QueueFull
 	}
-	if w.requests < limit/2 {
+	if q.requests < limit/2 {
 		return code.OK
 	}
-	if ev.Priority == api.PriorityBatch || w.byAccount[ev.ClientAccount] >= p.share(ev.ClientAccount) {
+	if ev.Priority == api.PriorityBatch || q.byAccount[ev.ClientAccount] >= p.queueShare(ev.ClientAccount) {
 		return code.QueueFull
 	}
 	return code.OK
 }
 
-// reservedPart: one part in so many of the queue is kept for client accounts that
-// have nothing waiting yet.
-const reservedPart = 8
+// reservedDivisor: 1/reservedDivisor of the queue is reserved for client accounts that
+// have no request waiting yet.
+const reservedDivisor = 8
 
-// share is a client account's part of the queue among the client accounts that wait now.
+// queueShare returns the number of queued requests that a client account may have, by its
+// weight among the client accounts with waiting requests.
 //
-// Failure: one client account's flood comes while nobody else waits, so that its share
-// is the whole queue; it fills it to the brim, and the next caller of any other
-// client account is refused. What waits can't be taken back, since it may have been
-// sent. Guard: no share reaches into the reserved part.
-func (p *Part) share(account string) int {
+// Failure: one client account sends a burst while no other waits, so its share is the
+// whole queue. It fills the queue, and the next request of any other client account is
+// refused; waiting requests can't be evicted, since they may have been sent. Guard: no
+// share includes the reserved part.
+func (p *Part) queueShare(account string) int {
 	total, own := 0, p.weight(account)
-	if p.waiting.byAccount[account] == 0 {
+	if p.queue.byAccount[account] == 0 {
 		total = own
 	}
-	for name := range p.waiting.byAccount { // a sum: order has no effect
+	for name := range p.queue.byAccount { // summed: order has no effect
 		total += p.weight(name)
 	}
 	limit := p.limits.QueueRequests
-	return max(1, min(limit*own/total, limit-limit/reservedPart))
+	return max(1, min(limit*own/total, limit-limit/reservedDivisor))
 }
 
 func (p *Part) weight(account string) int {
@@ -110,17 +111,17 @@
 	return 1
 }
 
-// The retry budget: resent requests add at most a tenth to the load of the
-// agents, beyond a burst, so that a fault is not made worse by retries.
+// The retry budget: resent requests add at most a tenth to the load of the agents, beyond
+// a burst, so that retries don't make a fault worse.
 const (
-	retryShare = 0.1
+	retryRatio = 0.1
 	retryBurst = 100
 )
 
 type retryBudget struct{ tokens float64 }
 
-func (b *retryBudget) earn() { b.tokens = min(retryBurst, b.tokens+retryShare) }
+func (b *retryBudget) deposit() { b.tokens = min(retryBurst, b.tokens+retryRatio) }
 
-func (b *retryBudget) left() bool { return b.tokens >= 1 }
+func (b *retryBudget) available() bool { return b.tokens >= 1 }
 
-func (b *retryBudget) pay() { b.tokens = max(0, b.tokens-1) }
+func (b *retryBudget) withdraw() { b.tokens = max(0, b.tokens-1) }
--- a/internal/core/entry/agents.go
+++ b/internal/core/entry/agents.go
@@ -8,19 +8,20 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// load is what the entry knows of the queue at a slot or host: the owner's
-// last word, brought forward by what this entry sent since.
+// load is the entry's estimate of the queue at a slot or host: the owner's last report,
+// updated with what this entry has sent since.
 type load struct {
 	running int
 	queued  int
-	// sent counts Starts without an Accepted or Rejected yet. Messages of a
-	// connection are in order, so a Status covers every Start that was
-	// accepted before it and none that is counted here.
+	// sent counts Starts without an Accepted or Rejected yet. Messages of a connection
+	// are ordered, so a Status covers every Start accepted before it and none counted
+	// here.
 	sent int
 	// readyAt is when the owner predicted that a request would start.
 	readyAt core.Time
-	// firstAt is the same for a client account that has no request waiting there.
-	firstAt core.Time
+	// newAccountReadyAt is the predicted start of a request from a client account that
+	// has none waiting there.
+	newAccountReadyAt core.Time
 }
 
 func (l *load) total() int { return l.running + l.queued + l.sent }
@@ -45,30 +46,30 @@
 	}
 }
 
-// agent is one process beside a backend server, as far as the entry knows it.
+// agent is the entry's view of the agent process next to one backend server.
 type agent struct {
-	// The fields up to noticed are read for each place of each routing
+	// The fields up to leaveAckPending are read for each replica in each routing
 	// decision; they come first to share a cache line.
 	address string
-	// incarnation is that of the last connection, or the roster's while
-	// there is none.
+	// incarnation is that of the last connection, or the one in the roster while there is
+	// none.
 	incarnation       core.Incarnation
 	rosterIncarnation core.Incarnation
 	up                bool
-	// failed is set when a dial failed and none succeeded since.
-	failed        bool
+	// dialFailed is set when a dial failed and none has succeeded since.
+	dialFailed    bool
 	rostered      bool
 	rosterFenced  bool
 	rosterLeaving bool
 	listed        bool
 	listLeaving   bool
-	gone          bool
-	// noticed is set by the agent's own word that it is leaving, partAsked while it waits
-	// for an answer to that.
-	noticed, partAsked bool
+	delisted      bool
+	// announcedLeaving is set when the agent itself announced that it is leaving,
+	// leaveAckPending while it waits for an answer to that.
+	announcedLeaving, leaveAckPending bool
 
-	// listAddress and rosterAddress are what the platform's list and the roster
-	// said last. The one that changed last is the address.
+	// listAddress and rosterAddress are the last addresses in the platform's list and in
+	// the roster. The one that changed last is the address.
 	listAddress, rosterAddress string
 
 	zone    core.Zone
@@ -76,17 +77,17 @@
 	kind    core.BackendKind
 	service string
 
-	load     load
-	places   []*place
-	lastWord *core.Status
-	prefixes map[uint64]struct{}
-	requests []*request
-	orphans  []core.AttemptID
+	load           load
+	replicas       []*replica
+	lastStatus     *core.Status
+	prefixes       map[uint64]struct{}
+	requests       []*request
+	pendingCancels []core.AttemptID
 }
 
-// usable tells whether the agent may get new work.
+// usable reports whether the agent may get new work.
 func (a *agent) usable() bool {
-	if a.address == "" || a.gone || a.failed || a.listLeaving || a.noticed {
+	if a.address == "" || a.delisted || a.dialFailed || a.listLeaving || a.announcedLeaving {
 		return false
 	}
 	if a.rostered && a.rosterIncarnation == a.incarnation && (a.rosterFenced || a.rosterLeaving) {
@@ -95,44 +96,44 @@
 	return a.rostered || a.up
 }
 
-// moveTo takes the agent's address.
+// setAddress sets the agent's address and, if the entry has requested a connection,
+// requests one to the new address: at once, or as soon as the old connection is down.
 //
-// It guards against an agent that comes back at a new address: the manager
-// dials the old one on and on, the agent counts as failed, no request is routed
-// to it, and so nobody asks for a connection to the new address. The other
-// replicas then carry its load for good. Whoever wanted the old address asks
-// for the new one at once, or as soon as the old connection is down.
-func (p *Part) moveTo(a *agent, address string) {
+// It guards against an agent that comes back at a new address: the manager keeps dialling
+// the old address, the agent counts as failed, no request is routed to it, and so nothing
+// requests a connection to the new address. The other replicas then carry its load
+// permanently.
+func (p *Part) setAddress(a *agent, address string) {
 	if a.address != address {
-		a.address, a.failed = address, false
-		p.follow(a)
+		a.address, a.dialFailed = address, false
+		p.refreshConnection(a)
 	}
 }
 
-// listedAt takes the address that the platform's list tells.
+// setListAddress applies the address from the platform's list.
 //
-// It guards against a roster that is older than the list: an agent started again
-// at a new address, the first dial there failed, and the roster's old one was
-// dialled for good. The roster is written anew only once the agent is connected,
-// so that the agent stayed without a configuration, not ready.
-func (p *Part) listedAt(a *agent, address string) {
+// It guards against a roster that is older than the list: an agent restarted at a new
+// address, the first dial there failed, and the old address from the roster was dialled
+// indefinitely. The roster is only rewritten once the agent is connected, so the agent
+// got no configuration and never became ready.
+func (p *Part) setListAddress(a *agent, address string) {
 	if a.listAddress != address {
 		a.listAddress = address
-		p.moveTo(a, address)
+		p.setAddress(a, address)
 	}
 }
 
-// rosteredAt takes the address that a roster tells. The first one that is read
-// says nothing new where the list has been read.
-func (p *Part) rosteredAt(a *agent, address string) {
+// setRosterAddress applies the address from a roster. The first roster read is ignored
+// where the platform's list has been read, since it may be older.
+func (p *Part) setRosterAddress(a *agent, address string) {
 	before := a.rosterAddress
 	a.rosterAddress = address
 	if address != before && (before != "" || a.listAddress == "") {
-		p.moveTo(a, address)
+		p.setAddress(a, address)
 	}
 }
 
-func (p *Part) follow(a *agent) {
+func (p *Part) refreshConnection(a *agent) {
 	if p.peers.AcquiredBy(peers.Entry, a.host) {
 		p.connect(a)
 	}
@@ -147,10 +148,11 @@
 	return a
 }
 
-// connect asks for a connection; the manager redials by itself. It is shared with the steward's part: a
-// connection that stood before the entry knew the agent sends no PeerUp again.
+// connect requests a connection; the manager redials by itself. The connection is shared
+// with the steward part: one that was up before the entry learned of the agent causes no
+// further PeerUp.
 func (p *Part) connect(a *agent) {
-	if a.up || a.address == "" || a.gone {
+	if a.up || a.address == "" || a.delisted {
 		return
 	}
 	if p.peers.Up(a.host) {
@@ -161,50 +163,51 @@
 }
 
 func (p *Part) welcome(a *agent, m core.Welcome) {
-	a.zone, a.noticed = m.Zone, a.noticed || m.Leaving
+	a.zone, a.announcedLeaving = m.Zone, a.announcedLeaving || m.Leaving
 }
 
-// status takes an agent's word on all its slots; a slot absent is unloaded.
+// status applies an agent's report on all its slots; a slot that is absent is unloaded.
 func (p *Part) status(a *agent, m core.Status) {
-	if a.lastWord != nil && m.Sequence <= a.lastWord.Sequence {
+	if a.lastStatus != nil && m.Sequence <= a.lastStatus.Sequence {
 		return
 	}
-	a.lastWord = &m
-	a.noticed = a.noticed || m.Leaving
+	a.lastStatus = &m
+	a.announcedLeaving = a.announcedLeaving || m.Leaving
 	a.load.running, a.load.queued = m.Running, m.Queued
 	a.prefixes = make(map[uint64]struct{}, len(m.Prefixes))
 	for _, prefix := range m.Prefixes {
 		a.prefixes[prefix] = struct{}{}
 	}
-	for _, place := range a.places {
-		place.forget()
+	for _, replica := range a.replicas {
+		replica.reset()
 	}
 	for i := range m.Slots {
-		if place := p.place(m.Slots[i].Slot); place != nil && place.agent == a {
-			place.learn(p.now, &m.Slots[i])
+		if replica := p.replica(m.Slots[i].Slot); replica != nil && replica.agent == a {
+			replica.update(p.now, &m.Slots[i])
 		}
 	}
 }
 
-// partIfDone answers a leaving agent once nothing of this entry's is open there: no new
-// work is on its way, and nothing of what it said last is missing.
+// acknowledgeLeaving answers a leaving agent once this entry has no open request there:
+// no new work is on its way, and none of the agent's earlier answers is missing.
 //
-// It guards against an agent that exits while its last words are lost with a connection
-// that has just broken: nobody could tell then what became of its last calls.
-func (p *Part) partIfDone(a *agent) {
-	if a.partAsked && a.up && len(a.requests) == 0 {
-		a.partAsked = false
+// It guards against an agent that exits while its last messages are lost with a
+// connection that has just broken: the outcome of its last calls could then not be
+// learned.
+func (p *Part) acknowledgeLeaving(a *agent) {
+	if a.leaveAckPending && a.up && len(a.requests) == 0 {
+		a.leaveAckPending = false
 		p.send(a, core.Leaving{Host: p.config.Host})
 	}
 }
 
-// attach makes the agent the one that the request waits for.
+// attach assigns the request to the agent.
 func (a *agent) attach(r *request) {
 	r.agent, r.agentIndex = a, len(a.requests)
 	a.requests = append(a.requests, r)
 }
 
-// detach undoes attach in constant time, by moving the last request up.
+// detach undoes attach in constant time, by moving the last request into its position.
 func (r *request) detach() {
 	a := r.agent
 	if a == nil {
@@ -215,16 +218,16 @@
 	a.requests[r.agentIndex].agentIndex = r.agentIndex
 	a.requests[last] = nil
 	a.requests = a.requests[:last]
-	r.agent, r.place = nil, nil
+	r.agent, r.replica = nil, nil
 }
 
-// maxOrphans bounds the cancels kept for an agent that is cut off. An agent
-// drops an attempt that nobody resumes by itself; a cancel only saves work.
-const maxOrphans = 1024
+// maxPendingCancels bounds the cancels kept for an agent that is disconnected. An agent
+// drops by itself an attempt that nobody resumes; a cancel only saves work.
+const maxPendingCancels = 1024
 
-func (a *agent) orphan(attempt core.AttemptID) {
-	if len(a.orphans) == maxOrphans {
-		a.orphans = slices.Delete(a.orphans, 0, 1)
+func (a *agent) queueCancel(attempt core.AttemptID) {
+	if len(a.pendingCancels) == maxPendingCancels {
+		a.pendingCancels = slices.Delete(a.pendingCancels, 0, 1)
 	}
-	a.orphans = append(a.orphans, attempt)
+	a.pendingCancels = append(a.pendingCancels, attempt)
 }
--- a/internal/core/entry/attempt.go
+++ b/internal/core/entry/attempt.go
@@ -7,8 +7,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// dispatch routes a request that has no agent, under the configuration now in
-// force.
+// dispatch routes a request that has no agent, under the configuration in force.
 func (p *Part) dispatch(r *request) {
 	t, result := p.resolve(&r.arrived.Target)
 	if result != code.OK {
@@ -30,7 +29,7 @@
 	}
 	p.connect(c.agent)
 	c.agent.attach(r)
-	r.place, r.cold, r.phase = c.place, c.cold, phaseConnecting
+	r.replica, r.cold, r.phase = c.replica, c.cold, phaseConnecting
 	r.load().sent++
 	if c.agent.up {
 		p.start(r)
@@ -39,13 +38,13 @@
 	p.setTimer(r, p.now.Add(p.limits.ConnectWait))
 }
 
-// start sends the request. From here on it may run.
+// start sends the request to its agent. From then on it may run.
 func (p *Part) start(r *request) {
 	if r.attempt > 0 {
-		p.retries.pay()
+		p.retries.withdraw()
 	}
 	r.attempt++
-	r.unproved++
+	r.unprovedStarts++
 	r.phase, r.resumed, r.sentTo = phaseSent, false, r.agent.incarnation
 	r.stream.beginAttempt()
 	p.setTimer(r, r.deadline)
@@ -59,8 +58,8 @@
 		Window:     uint32(r.stream.allowed(p.limits.StreamWindow)),
 	}
 	count := countServiceStart
-	if r.place != nil {
-		m.Slot, m.Generation = r.place.slot.ID, r.place.slot.Generation
+	if r.replica != nil {
+		m.Slot, m.Generation = r.replica.slot.ID, r.replica.slot.Generation
 		count = countModelStart
 	}
 	p.send(r.agent, m)
@@ -78,37 +77,37 @@
 		return
 	}
 	r.load().accept(startsIn)
-	if r.place != nil {
-		r.place.accepted(p.now, startsIn, r.arrived.Priority)
+	if r.replica != nil {
+		r.replica.applyPrediction(p.now, startsIn, r.arrived.Priority)
 	}
-	if r.cold && startsIn > 0 && r.place.model.coldStart.value == 0 {
-		r.place.model.coldStart.add(startsIn)
+	if r.cold && startsIn > 0 && r.replica.model.coldStart.value == 0 {
+		r.replica.model.coldStart.add(startsIn)
 	}
 	r.accepted, r.startsAt = true, p.now.Add(startsIn)
 	if r.phase == phaseSent {
 		r.phase = phaseRunning
 	}
-	if !p.endsInTime(r.place, r.startsAt) {
+	if !p.endsInTime(r.replica, r.startsAt) {
 		p.recall(r)
 	}
 }
 
-// rejected handles an agent's word that the attempt did not run and will not.
+// rejected handles an agent's report that the attempt did not run and will not.
 func (p *Part) rejected(a *agent, m core.Rejected) {
 	r := p.current(a, m.Attempt)
 	switch {
 	case r == nil:
 	case r.stream.progress:
-		p.lost(r, reasonLost)
+		p.handleLost(r, reasonLost)
 	default:
 		p.refusedByAgent(r, m.Code, m.RetryAfter)
 	}
 }
 
 func (p *Part) refusedByAgent(r *request, result code.Code, retryAfter time.Duration) {
-	r.unproved--
+	r.unprovedStarts--
 	if result == code.NotOwner {
-		result = code.NoBackend // what it means to a caller
+		result = code.NoBackend // callers don't see slot ownership
 	}
 	r.refusal, r.retryAfter = result, retryAfter
 	if r.recalled {
@@ -116,7 +115,7 @@
 		return
 	}
 	if result == code.Draining {
-		r.agent.noticed = true
+		r.agent.announcedLeaving = true
 	}
 	if finalRefusal(result) || !p.mayRetry(r) {
 		p.finish(r, result, retryAfter)
@@ -125,7 +124,7 @@
 	p.nextCandidate(r, reasonRejected)
 }
 
-// finalRefusal tells whether every other agent would refuse just the same.
+// finalRefusal reports whether every other agent would refuse for the same reason.
 func finalRefusal(result code.Code) bool {
 	switch result {
 	case code.DuplicateKey, code.DeadlinePassed, code.Cancelled:
@@ -134,15 +133,16 @@
 	return result < code.DeadlineUnmet
 }
 
-// mayRetry tells whether the request may be sent again; start pays for it.
+// mayRetry reports whether the request may be sent again; start charges the retry budget.
 func (p *Part) mayRetry(r *request) bool {
-	return int(r.attempt) < p.limits.MaxAttempts && r.deadline > p.now && p.retries.left()
+	return int(r.attempt) < p.limits.MaxAttempts && r.deadline > p.now && p.retries.available()
 }
 
-// nextCandidate moves a request on that is proved not to run where it is.
+// nextCandidate routes a request to another agent after it was proved not to run at the
+// present one.
 func (p *Part) nextCandidate(r *request, why reason) {
 	r.tried = append(r.tried, r.agent.host)
-	p.leave(r)
+	p.releaseAgent(r)
 	p.countRetry(why)
 	p.dispatch(r)
 }
--- a/internal/core/entry/bench_test.go
+++ b/internal/core/entry/bench_test.go
@@ -9,7 +9,7 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// The size of the letter of the aim: see docs/CAPACITY.md.
+// Fleet size of the capacity target: see docs/CAPACITY.md.
 const (
 	benchModels   = 130
 	benchAdapters = 42000
@@ -17,8 +17,8 @@
 	benchAgents   = 470
 )
 
-// BenchmarkRoute measures a routing decision at full size: one request in and
-// its Start out, and the caller leaving so that the state stays level.
+// BenchmarkRoute measures a routing decision at full fleet size: a request arrives and
+// its Start is sent, and the caller leaves so that the state does not grow.
 func BenchmarkRoute(b *testing.B) {
 	part := benchPart()
 	model := func(i int) core.Target { return core.Target{Model: benchModel(i)} }
--- a/internal/core/entry/config.go
+++ b/internal/core/entry/config.go
@@ -1,11 +1,11 @@
-// Package entry is the sub-reducer of an entry host: it takes callers'
-// requests, chooses the agent that runs each, streams the answer back and
-// decides what may be repeated when a connection, process or host fails.
+// Package entry is the sub-reducer of an entry host: it accepts callers' requests,
+// chooses the agent that runs each, streams the answer back and decides what may be
+// retried when a connection, process or host fails.
 //
-// Three promises shape it. A refusal that says "not run" is proved: nothing
-// was sent, or the agent that it was sent to said that it did not and will not
-// run. A request that is not idempotent is started a second time only after
-// such a proof. A caller gets each token or chunk once and in order.
+// It gives three guarantees. A refusal with a "not run" code is proved: nothing was sent,
+// or the agent that got the request reported that it did not and will not run it. A
+// request that is not idempotent is started a second time only after such a proof. A
+// caller gets each token or chunk once and in order.
 package entry
 
 import (
@@ -15,25 +15,24 @@
 	"nutmeglane.example/nutmeglane/internal/defaults"
 )
 
-// Config is the part's configuration. Zero durations and limits take the
-// defaults.
+// Config is the part's configuration. Zero durations and limits mean the defaults.
 type Config struct {
 	Host        core.HostID
 	Incarnation core.Incarnation
 	Zone        core.Zone
-	// Seed feeds the generator that breaks ties between near-equal agents.
+	// Seed seeds the generator that breaks ties between agents with similar load.
 	Seed uint64
 	// Timings are the protocol's durations.
 	Timings core.Timings
 	Limits  Limits
 }
 
-// Limits bound what the entry holds and how long it waits.
+// Limits bound the requests that the entry holds and its waits.
 type Limits struct {
-	// QueueRequests is the number of requests without an answer's head.
-	// Default 4096.
+	// QueueRequests is the maximum number of requests whose response head has not been
+	// sent. Default 4096.
 	QueueRequests int
-	// QueueBytes is the sum of request bodies held. Default 16 MiB.
+	// QueueBytes is the maximum sum of the request bodies held. Default 16 MiB.
 	QueueBytes int64
 	// ResumeWindow is how long a broken stream waits for a new connection to
 	// the same process. Default 5 s.
@@ -41,12 +40,12 @@
 	// ConnectWait is how long a request that was not sent yet waits for a
 	// connection to its agent. Default 2 s.
 	ConnectWait time.Duration
-	// StreamWindow is the number of data frames that an agent may be ahead
-	// of the caller. Default 32.
+	// StreamWindow is the number of data frames that an agent may send ahead of the
+	// caller. Default 32.
 	StreamWindow uint32
 	// MaxAttempts bounds the Starts of one request. Default 3.
 	MaxAttempts int
-	// ColdStart is the assumed time of a cold start until one is learned.
+	// ColdStart is the assumed duration of a cold start until one is measured.
 	// Default 20 s.
 	ColdStart time.Duration
 	// ServiceSubset is the number of agents of one plain service that this
--- a/internal/core/entry/counters.go
+++ b/internal/core/entry/counters.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// Counts with fixed labels are built once: they are emitted for each request.
+// Counts with fixed labels are built once because they are emitted for each request.
 var (
 	countModelStart   = counted(counterAttempts, "model")
 	countServiceStart = counted(counterAttempts, "service")
 	countResume       = counted(counterResumes)
-	dropDead          = counted(counterDropped, "dead attempt")
+	dropStaleAttempt  = counted(counterDropped, "dead attempt")
 	dropDuplicate     = counted(counterDropped, "duplicate")
 	dropGap           = counted(counterDropped, "gap")
 	dropMalformed     = counted(counterDropped, "malformed")
@@ -44,7 +44,7 @@
 	return core.Count{Name: name, Labels: labels, Add: 1}
 }
 
-// reason tells why a request is sent again; it is a metric label.
+// reason is why a request is sent again; it is a metric label.
 type reason string
 
 const (
@@ -55,7 +55,7 @@
 	reasonFailed      reason = "backend failed"
 )
 
-// endCounts keeps the count effect of each result code.
+// endCounts caches the count effect of each result code.
 type endCounts map[code.Code]core.Effect
 
 func (c endCounts) of(result code.Code) core.Effect {
--- a/internal/core/entry/dump.go
+++ b/internal/core/entry/dump.go
@@ -33,8 +33,8 @@
 		ConfigRevision: p.configRevision(),
 		Revisions:      map[string]int64{},
 		Requests:       len(p.requests),
-		Waiting:        p.waiting.requests,
-		BodyBytes:      p.waiting.bytes,
+		Waiting:        p.queue.requests,
+		BodyBytes:      p.queue.bytes,
 		RetryTokens:    p.retries.tokens,
 		Stopping:       p.stop.stopping,
 		Agents:         map[core.HostID]AgentState{},
@@ -45,7 +45,7 @@
 	for host, a := range p.agents {
 		state.Agents[host] = AgentState{
 			Zone: a.zone, Service: a.service, Incarnation: a.incarnation,
-			Up: a.up, Usable: a.usable(), Slots: len(a.places),
+			Up: a.up, Usable: a.usable(), Slots: len(a.replicas),
 			Requests: len(a.requests), Running: a.load.running, Queued: a.load.queued,
 		}
 	}
--- a/internal/core/entry/entry_test.go
+++ b/internal/core/entry/entry_test.go
@@ -16,28 +16,28 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// TestScenarios runs the scripts in testdata: events separated by ";" ("@<time>"
-// sets the clock and ticks), and for each event a line of its effects, without
-// metrics. "fresh" starts over: model m with slots 0, 1, 2 owned by a0, a1, a2
-// (incarnation 1), adapter ad on m, service svc on s0 and s1. "run" goes on.
+// TestScenarios runs the scripts in testdata: events separated by ";" ("@<time>" sets the
+// clock and sends a Tick), and for each event a line of its effects, without metrics.
+// "fresh" resets the harness: model m with slots 0, 1, 2 owned by a0, a1, a2 (incarnation
+// 1), adapter ad on m, service svc on s0 and s1. "run" continues with the present state.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var w *world
+		var h *harness
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "fresh" {
-				w = newWorld(t)
+				h = newHarness(t)
 			}
-			w.t = t
+			h.t = t
 			var out strings.Builder
 			for _, event := range strings.Split(d.Input, ";") {
-				w.line(&out, strings.Fields(event))
+				h.line(&out, strings.Fields(event))
 			}
 			return out.String()
 		})
 	})
 }
 
-type world struct {
+type harness struct {
 	t        *testing.T
 	part     *Part
 	manager  *peers.Manager
@@ -45,16 +45,16 @@
 	revision int64
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	manager := peers.New(1)
-	w := &world{t: t, manager: manager, part: New(Config{
+	h := &harness{t: t, manager: manager, part: New(Config{
 		Host: "e0", Incarnation: 7, Zone: "z0", Seed: 1, Timings: core.DefaultTimings(),
 		Limits: Limits{StreamWindow: 4, QueueRequests: 8},
 	}, manager)}
-	w.step(core.ConfigInForce{Snapshot: testSnapshot()})
-	w.step(w.value(core.KeyRosterPrefix+"z0", testRoster("", "")))
-	w.step(w.value(core.KeySlotsPrefix+"0", testTable(3)))
-	return w
+	h.step(core.ConfigInForce{Snapshot: testSnapshot()})
+	h.step(h.value(core.KeyRosterPrefix+"z0", testRoster("", "")))
+	h.step(h.value(core.KeySlotsPrefix+"0", testTable(3)))
+	return h
 }
 
 func testTable(adapterMax uint16) core.SlotTable {
@@ -92,27 +92,27 @@
 	return roster
 }
 
-func (w *world) value(key string, value any) core.KVValue {
-	w.revision++
-	return core.KVValue{Key: key, Value: must(core.EncodeValue(value)), Revision: w.revision}
+func (h *harness) value(key string, value any) core.KVValue {
+	h.revision++
+	return core.KVValue{Key: key, Value: must(core.EncodeValue(value)), Revision: h.revision}
 }
 
-func (w *world) step(event core.Event) []core.Effect {
-	effects := w.manager.Step(w.now, event)
-	return append(effects, w.part.Step(w.now, event)...)
+func (h *harness) step(event core.Event) []core.Effect {
+	effects := h.manager.Step(h.now, event)
+	return append(effects, h.part.Step(h.now, event)...)
 }
 
-// line carries one script line out.
-func (w *world) line(out *strings.Builder, args []string) {
+// line runs one line of a script.
+func (h *harness) line(out *strings.Builder, args []string) {
 	if at, ok := strings.CutPrefix(args[0], "@"); ok {
-		w.now = core.Time(w.duration(at))
-		if min(w.part.Next(), w.manager.Next()) > w.now {
+		h.now = core.Time(h.duration(at))
+		if min(h.part.Next(), h.manager.Next()) > h.now {
 			return
 		}
 		args = []string{"tick"}
 	}
 	var shown []string
-	for _, effect := range w.step(w.event(args)) {
+	for _, effect := range h.step(h.event(args)) {
 		if text := show(effect); text != "" {
 			shown = append(shown, text)
 		}
@@ -129,33 +129,33 @@
 	return value
 }
 
-func (w *world) duration(s string) time.Duration { return must(time.ParseDuration(s)) }
-func (w *world) number(s string) uint64          { return must(strconv.ParseUint(s, 10, 64)) }
+func (h *harness) duration(s string) time.Duration { return must(time.ParseDuration(s)) }
+func (h *harness) number(s string) uint64          { return must(strconv.ParseUint(s, 10, 64)) }
 
-func (w *world) event(args []string) core.Event {
+func (h *harness) event(args []string) core.Event {
 	switch args[0] {
 	case "tick":
 		return core.Tick{}
 	case "ask":
-		return w.ask(args[1:])
+		return h.ask(args[1:])
 	case "up":
-		return core.PeerUp{Peer: core.HostID(args[1]), Incarnation: core.Incarnation(w.number(args[2]))}
+		return core.PeerUp{Peer: core.HostID(args[1]), Incarnation: core.Incarnation(h.number(args[2]))}
 	case "down":
 		return core.PeerDown{Peer: core.HostID(args[1])}
 	case "took":
-		return core.CallerTook{ID: requestID(args[1]), Frames: uint32(w.number(args[2]))}
+		return core.CallerTook{ID: requestID(args[1]), Frames: uint32(h.number(args[2]))}
 	case "gone":
 		return core.CallerGone{ID: requestID(args[1])}
 	case "stop":
-		stop := core.Stop{Limit: w.duration(args[1])}
+		stop := core.Stop{Limit: h.duration(args[1])}
 		if len(args) > 2 {
-			stop.Delay = w.duration(args[2])
+			stop.Delay = h.duration(args[2])
 		}
 		return stop
 	case "roster-leaving":
-		return w.value(core.KeyRosterPrefix+"z0", testRoster(core.HostID(args[1]), ""))
+		return h.value(core.KeyRosterPrefix+"z0", testRoster(core.HostID(args[1]), ""))
 	case "roster-restarted":
-		return w.value(core.KeyRosterPrefix+"z0", testRoster("", core.HostID(args[1])))
+		return h.value(core.KeyRosterPrefix+"z0", testRoster("", core.HostID(args[1])))
 	case "roster-moved":
 		roster := testRoster("", core.HostID(args[1]))
 		for i := range roster.Entries {
@@ -163,15 +163,15 @@
 				roster.Entries[i].Address = "moved"
 			}
 		}
-		return w.value(core.KeyRosterPrefix+"z0", roster)
+		return h.value(core.KeyRosterPrefix+"z0", roster)
 	case "adapters":
-		return w.value(core.KeySlotsPrefix+"0", testTable(uint16(w.number(args[1]))))
+		return h.value(core.KeySlotsPrefix+"0", testTable(uint16(h.number(args[1]))))
 	case "old-slots":
 		return core.KVValue{Key: core.KeySlotsPrefix + "0"}
 	case "hosts":
 		return hostList(args[1:])
 	default:
-		return core.Received{From: core.HostID(args[1]), Message: w.message(args[0], args[2:])}
+		return core.Received{From: core.HostID(args[1]), Message: h.message(args[0], args[2:])}
 	}
 }
 
@@ -184,9 +184,9 @@
 	return list
 }
 
-// ask reads "<id> <target> <timeout> [idem] [key=K] [batch] [small]".
-func (w *world) ask(args []string) core.RequestArrived {
-	ev := core.RequestArrived{ID: requestID(args[0]), ClientAccount: "c", Timeout: w.duration(args[2])}
+// ask parses "<id> <target> <timeout> [idem] [key=K] [batch] [small]".
+func (h *harness) ask(args []string) core.RequestArrived {
+	ev := core.RequestArrived{ID: requestID(args[0]), ClientAccount: "c", Timeout: h.duration(args[2])}
 	switch args[1] {
 	case "svc", "nosvc":
 		ev.Target.Service = args[1]
@@ -210,39 +210,39 @@
 	return ev
 }
 
-func (w *world) message(kind string, args []string) core.Message {
+func (h *harness) message(kind string, args []string) core.Message {
 	switch kind {
 	case "leaving":
 		return core.Leaving{}
 	case "status":
-		return w.status(args)
+		return h.status(args)
 	}
 	attempt := parseAttempt(args[0])
 	switch args = args[1:]; kind {
 	case "accept":
-		return core.Accepted{Attempt: attempt, StartsIn: w.duration(args[0])}
+		return core.Accepted{Attempt: attempt, StartsIn: h.duration(args[0])}
 	case "reject":
-		return core.Rejected{Attempt: attempt, Code: code.Code(w.number(args[0])), RetryAfter: w.duration(args[1])}
+		return core.Rejected{Attempt: attempt, Code: code.Code(h.number(args[0])), RetryAfter: h.duration(args[1])}
 	case "notstarted":
-		return core.NotStarted{Attempt: attempt, Incarnation: core.Incarnation(w.number(args[0]))}
+		return core.NotStarted{Attempt: attempt, Incarnation: core.Incarnation(h.number(args[0]))}
 	case "head":
 		return core.Frame{Attempt: attempt, Kind: core.FrameHead, Status: 200}
 	case "data":
-		return w.data(attempt, args)
+		return h.data(attempt, args)
 	case "end":
-		frame := core.Frame{Attempt: attempt, Kind: core.FrameEnd, Seq: w.number(args[0])}
+		frame := core.Frame{Attempt: attempt, Kind: core.FrameEnd, Seq: h.number(args[0])}
 		if len(args) > 1 {
-			frame.Code = code.Code(w.number(args[1]))
+			frame.Code = code.Code(h.number(args[1]))
 		}
 		return frame
 	}
-	w.t.Fatalf("unknown command %q", kind)
+	h.t.Fatalf("unknown command %q", kind)
 	return nil
 }
 
-// data reads "<seq> <token>|<token>".
-func (w *world) data(attempt core.AttemptID, args []string) core.Frame {
-	frame := core.Frame{Attempt: attempt, Kind: core.FrameData, Seq: w.number(args[0])}
+// data parses "<seq> <token>|<token>".
+func (h *harness) data(attempt core.AttemptID, args []string) core.Frame {
+	frame := core.Frame{Attempt: attempt, Kind: core.FrameData, Seq: h.number(args[0])}
 	for _, token := range strings.Split(args[1], "|") {
 		frame.Count++
 		frame.Payload = append(frame.Payload, token...)
@@ -251,21 +251,21 @@
 	return frame
 }
 
-// status reads "<sequence> <index>:<state>:<readyIn>:<running>[:<skipIn>]" for model m.
-func (w *world) status(args []string) core.Status {
-	m := core.Status{Sequence: w.number(args[0])}
+// status parses "<sequence> <index>:<state>:<readyIn>:<running>[:<skipIn>]" for model m.
+func (h *harness) status(args []string) core.Status {
+	m := core.Status{Sequence: h.number(args[0])}
 	for _, arg := range args[1:] {
 		f := strings.Split(arg, ":")
 		states := map[string]core.LoadState{"loading": core.Loading, "loaded": core.Loaded}
 		load := core.SlotLoad{
-			Slot: core.SlotID{Model: "m", Index: uint16(w.number(f[0]))}, Generation: 5,
-			State: states[f[1]], ReadyIn: w.duration(f[2]), Running: int(w.number(f[3])),
+			Slot: core.SlotID{Model: "m", Index: uint16(h.number(f[0]))}, Generation: 5,
+			State: states[f[1]], ReadyIn: h.duration(f[2]), Running: int(h.number(f[3])),
 		}
 		if len(f) > 4 {
-			load.SkipIn = w.duration(f[4])
+			load.SkipIn = h.duration(f[4])
 		}
 		m.Slots = append(m.Slots, load)
-		m.Running += int(w.number(f[3]))
+		m.Running += int(h.number(f[3]))
 	}
 	return m
 }
--- a/internal/core/entry/hello_test.go
+++ b/internal/core/entry/hello_test.go
@@ -7,11 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// The steward has asked an agent for reports on a connection; the entry part
-// comes to know the agent later and greets it on the same connection. Without
-// the wish in that Hello too, the agent would stop reporting and lose its slots
-// with its tenure.
-func TestLateHelloKeepsReports(t *testing.T) {
+// The steward has requested reports from an agent on a connection; the entry part learns
+// of the agent later and sends its Hello on the same connection. Unless that Hello also
+// requests reports, the agent stops reporting and loses its slots when its tenure ends.
+func TestLateHelloStillRequestsReports(t *testing.T) {
 	manager := peers.New(1)
 	manager.SetCollecting(true)
 	p := New(Config{Host: "e1", Incarnation: 1}, manager)
--- a/internal/core/entry/invariant_test.go
+++ b/internal/core/entry/invariant_test.go
@@ -11,13 +11,13 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// TestInvariants feeds random faults and checks what must hold whatever comes:
-// one final answer for each request, tokens in order without hole or double,
-// no second Start of a request that isn't idempotent without a proof that the
-// first did not run, and no "not run" without that proof.
+// TestInvariants injects random faults and checks what must always hold: one final answer
+// for each request, tokens in order without gaps or duplicates, no second Start of a
+// request that isn't idempotent without a proof that the first did not run, and no "not
+// run" without that proof.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := &checker{rt: rt, world: newWorld(t), all: map[core.RequestID]*history{}, up: map[core.HostID]core.Incarnation{}}
+		c := &checker{rt: rt, harness: newHarness(t), all: map[core.RequestID]*history{}, up: map[core.HostID]core.Incarnation{}}
 		for range rapid.IntRange(10, 80).Draw(rt, "steps") {
 			c.random()
 		}
@@ -41,7 +41,7 @@
 }
 
 type checker struct {
-	*world
+	*harness
 	rt  *rapid.T
 	all map[core.RequestID]*history
 	up  map[core.HostID]core.Incarnation
@@ -79,7 +79,7 @@
 	c.check(ev)
 }
 
-// reply sends some answer of some attempt, current or dead.
+// reply sends a random answer of a random attempt, current or superseded.
 func (c *checker) reply() {
 	var ids []core.RequestID
 	for i := range len(c.all) {
@@ -132,7 +132,7 @@
 		case core.RespondEnd:
 			h := c.all[e.ID]
 			if h.ends++; e.Code.NotRun() && h.open() > 0 {
-				c.rt.Fatalf("%s told %d with an open attempt", requestName(e.ID), e.Code)
+				c.rt.Fatalf("%s ended with code %d while an attempt may still run", requestName(e.ID), e.Code)
 			}
 		}
 	}
--- a/internal/core/entry/keyed.go
+++ b/internal/core/entry/keyed.go
@@ -7,36 +7,35 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// The same idempotency key may arrive at two entries at once, or again at
-// another one after the first entry died. Entries don't talk to each other
-// about requests; what makes the key run once is that both send it to the same
-// agent, which remembers it. So the owner of a key is the highest rendezvous
-// score among candidates that are stable: the slot indexes that the
-// configuration declares (for an adapter, those that the slot table allows it),
-// or the agents in the rosters, whether or not they are usable at the moment.
-// Were the owner chosen among the usable ones, two entries that see an agent's
-// death at different times would choose two agents and the call would run
-// twice. If the owner isn't usable, a call that is not idempotent is refused:
-// nothing was sent, so "not run" is true, and the caller may come back.
+// The same idempotency key may arrive at two entries at once, or again at another one
+// after the first entry failed. Entries don't coordinate requests among themselves; the
+// key runs once because all of them send it to the same agent, which remembers it. The
+// owner of a key is therefore the candidate with the highest rendezvous hash score among
+// a stable set: the slot indexes that the configuration declares (for an adapter, those
+// that the slot table allows it), or the agents in the rosters, usable at the moment or
+// not. Were the owner chosen among the usable ones, two entries that learn of an agent's
+// failure at different times would choose two agents and the call would run twice. If the
+// owner isn't usable, a call that is not idempotent is refused: nothing was sent, so "not
+// run" is true, and the caller may retry.
 //
-// Limits of the argument: an agent's memory of keys ends with its process. A
-// retry that comes after its slot moved, after the slots that may hold its
-// adapter changed, or after its roster entry was dropped
-// or a new agent was added that wins the key, meets an agent that does not
-// know the key. A caller that got "outcome unknown" is told just that.
+// Limits: an agent's record of keys ends with its process. A retry reaches an agent
+// without that record if the slot moved, if the slots that may hold the adapter changed,
+// if the first agent's roster entry was dropped, or if a new agent with a higher score
+// for the key was added. A caller that got OutcomeUnknown was told that its call may have
+// run.
 
 func scopedKey(r *request) string { return r.arrived.ClientAccount + "\x00" + r.arrived.Key }
 
-// chooseKeyOwner returns the place of the request's key. It leaves the
-// decision open only for an idempotent request whose owner is not usable.
+// chooseKeyOwner returns the replica that owns the request's key. It leaves the decision
+// open (false) only for an idempotent request whose owner is not usable or too late.
 func (p *Part) chooseKeyOwner(r *request, t *target) (choice, bool) {
-	var owner *place
+	var owner *replica
 	var best uint64
 	key := scopedKey(r)
 	for i := range t.size() {
 		score := core.Score(key, strconv.Itoa(t.index(i)))
 		if i == 0 || score > best {
-			best, owner = score, t.place(i)
+			best, owner = score, t.replica(i)
 		}
 	}
 	if !owner.usable() || r.isTried(owner.agent.host) {
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -10,9 +10,9 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// kvValue takes a slot table or roster. What was known last stays in force
-// while the KV service is away or answers with an older revision; a deleted
-// key (revision 0) is older than any.
+// kvValue applies a slot table or roster. The last value read stays in force while the KV
+// service is unreachable or answers with an older revision; a deleted key (revision 0) is
+// older than any.
 func (p *Part) kvValue(ev core.KVValue) {
 	isSlots := strings.HasPrefix(ev.Key, core.KeySlotsPrefix)
 	isRoster := strings.HasPrefix(ev.Key, core.KeyRosterPrefix)
@@ -32,12 +32,12 @@
 	p.revisions[ev.Key] = ev.Revision
 }
 
-// kvResult takes the value that a call of this process has read or written.
+// kvResult applies a value that this process itself has read or written.
 //
-// It guards against a status that is ahead of routing: the steward in this
-// process knows what it wrote at once, and operators are told that a model has
-// an owner, while the watch delivers the same value up to its coalescing time
-// later. A caller who came in between was refused with NoBackend.
+// It guards against a status that is ahead of routing: the steward in this process has a
+// value as soon as it is written, and operators see that a model has an owner, while the
+// watch delivers the same value up to its coalescing time later. A request that came in
+// between was refused with NoBackend.
 func (p *Part) kvResult(ev core.KVResult) {
 	if ev.Code == code.OK || ev.Code == code.KVConflict {
 		p.kvValue(core.KVValue{Key: ev.Key, Value: ev.Value, Revision: ev.Revision})
@@ -65,16 +65,16 @@
 func (p *Part) rosterEntry(zone core.Zone, e *core.RosterEntry) {
 	a := p.agent(e.Host)
 	a.rostered, a.zone = true, zone
-	p.rosteredAt(a, e.Address)
+	p.setRosterAddress(a, e.Address)
 	a.kind, a.service = e.Kind, e.Service
 	a.rosterIncarnation, a.rosterFenced, a.rosterLeaving = e.Incarnation, e.Fenced, e.Leaving
 	if !a.up && a.incarnation != e.Incarnation {
-		p.newProcess(a, e.Incarnation)
+		p.resetProcess(a, e.Incarnation)
 	}
 }
 
-// rebuildServices orders each service's agents by rendezvous score with this
-// entry, so that the entry's subset is stable and entries spread evenly.
+// rebuildServices orders each service's agents by rendezvous hash score with this entry,
+// so that the entry's subset is stable and entries spread evenly over the agents.
 func (p *Part) rebuildServices() {
 	p.services = map[string][]*agent{}
 	for _, host := range core.SortedKeys(p.agents) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// hostList takes the platform's list. An empty list is a failed read, not a
-// fleet that vanished. A host that was never listed is new, not gone.
+// hostList applies the platform's list. An empty list is treated as a failed read, not as
+// an empty fleet. A host that was never listed is new, not reclaimed.
 func (p *Part) hostList(ev core.HostList) {
 	if len(ev.Hosts) == 0 {
 		return
@@ -104,11 +104,11 @@
 		}
 		listed[host.ID] = true
 		a := p.agent(host.ID)
-		a.listed, a.gone, a.listLeaving = true, false, host.State == core.HostLeaving
+		a.listed, a.delisted, a.listLeaving = true, false, host.State == core.HostLeaving
 		if !a.rostered {
 			a.zone = host.Zone
 		}
-		p.listedAt(a, host.Address)
+		p.setListAddress(a, host.Address)
 	}
 	for _, host := range core.SortedKeys(p.agents) {
 		if a := p.agents[host]; a.listed && !listed[host] {
@@ -117,14 +117,14 @@
 	}
 }
 
-// hostGone handles a host that the platform reclaimed with all its processes.
-// While its connection stands, the rest of an answer may still be on its way:
-// then only new work stops, and PeerDown does the rest.
+// hostGone handles a host that the platform reclaimed with all its processes. While its
+// connection is up, the rest of an answer may still arrive: then only new work stops, and
+// PeerDown completes the removal.
 func (p *Part) hostGone(a *agent) {
-	a.gone, a.listed = true, false
+	a.delisted, a.listed = true, false
 	if a.up {
 		return
 	}
 	p.effects = append(p.effects, p.peers.Release(peers.Entry, a.host)...)
-	p.loseAll(a)
+	p.handleLostAgent(a)
 }
--- a/internal/core/entry/part.go
+++ b/internal/core/entry/part.go
@@ -16,17 +16,17 @@
 	rand   *rand.Rand
 
 	snapshot  *api.Snapshot
-	revisions map[string]int64 // newest revision seen of each KV key
+	revisions map[string]int64 // newest revision applied of each KV key
 	models    map[string]*model
-	chunks    map[string][]string // models with slots in each table key
+	chunks    map[string][]string // models with slots under each slot table key
 	adapters  map[string]adapterOrder
 	agents    map[core.HostID]*agent
-	zones     map[core.Zone][]core.HostID // agents in each zone's roster
+	zones     map[core.Zone][]core.HostID // agents in the roster of each availability zone
 	services  map[string][]*agent
 
 	requests map[core.RequestID]*request
 	timers   timerHeap
-	waiting  waitingLoad
+	queue    queueUsage
 	retries  retryBudget
 	stop     stopState
 
@@ -36,8 +36,8 @@
 	ends    endCounts
 }
 
-// New returns the part. The manager is shared with other parts; its Step must
-// see each event before this part does.
+// New returns the part. The manager is shared with other parts; its Step must run on each
+// event before this part's.
 func New(config Config, manager *peers.Manager) *Part {
 	config.Limits = config.Limits.withDefaults()
 	return &Part{
@@ -53,7 +53,7 @@
 		zones:     map[core.Zone][]core.HostID{},
 		services:  map[string][]*agent{},
 		requests:  map[core.RequestID]*request{},
-		waiting:   waitingLoad{byAccount: map[string]int{}},
+		queue:     queueUsage{byAccount: map[string]int{}},
 		retries:   retryBudget{tokens: retryBurst},
 		ends:      endCounts{},
 	}
@@ -112,8 +112,8 @@
 	case core.Status:
 		p.status(a, m)
 	case core.Leaving:
-		a.noticed, a.partAsked = true, true
-		p.partIfDone(a)
+		a.announcedLeaving, a.leaveAckPending = true, true
+		p.acknowledgeLeaving(a)
 	case core.Accepted:
 		p.accepted(a, m)
 	case core.Rejected:
@@ -136,12 +136,12 @@
 	}
 }
 
-// firstEffects is the room for the effects of a common step.
-const firstEffects = 4
+// effectsCapacity is the capacity reserved for the effects of a typical step.
+const effectsCapacity = 4
 
 func (p *Part) emit(effect core.Effect) {
 	if p.effects == nil {
-		p.effects = make([]core.Effect, 0, firstEffects)
+		p.effects = make([]core.Effect, 0, effectsCapacity)
 	}
 	p.effects = append(p.effects, effect)
 }
--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -9,16 +9,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// phase is where a request is on its way. docs/REQUESTS.md shows the life of
-// a request.
+// phase is the state of a request. docs/REQUESTS.md shows the transitions.
 type phase uint8
 
 const (
 	// phaseConnecting: an agent is chosen, nothing was sent to it.
 	phaseConnecting phase = iota
-	// phaseSent: Start was sent; the agent has not said that it has it.
+	// phaseSent: Start was sent; the agent has not accepted it yet.
 	phaseSent
-	// phaseRunning: the agent accepted, and frames may come.
+	// phaseRunning: the agent accepted the request, and frames may arrive.
 	phaseRunning
 	// phaseBroken: Start was sent, and the connection is lost.
 	phaseBroken
@@ -26,9 +25,9 @@
 
 // request is a caller's request in flight.
 type request struct {
-	arrived  core.RequestArrived
-	began    core.Time
-	deadline core.Time
+	arrived   core.RequestArrived
+	arrivedAt core.Time
+	deadline  core.Time
 
 	timer      core.Time
 	timerIndex int
@@ -36,23 +35,23 @@
 	phase      phase
 	agent      *agent
 	agentIndex int
-	place      *place // nil for services
-	cold       bool   // the place had nothing loaded when it was chosen
+	replica    *replica // nil for services
+	cold       bool     // nothing was loaded there when the replica was chosen
 	// attempt is the number of the last Start; sentTo is the process that
 	// it was sent to.
 	attempt  uint32
 	sentTo   core.Incarnation
 	accepted bool
-	// resumed is set once the attempt was taken up again on a further connection.
+	// resumed is set once the attempt was resumed on a further connection.
 	resumed bool
-	// startsAt is when the agent predicted that it starts, and recalled is set once it was
-	// called back.
+	// startsAt is the start of the run that the agent predicted; recalled is set once the
+	// entry asked the agent to refuse the request if it has not started.
 	startsAt core.Time
 	recalled bool
-	// unproved counts the Starts without a proof that they did not run.
-	unproved int
-	tried    []core.HostID
-	// refusal is the last rejection, the answer when no agent is left.
+	// unprovedStarts counts the Starts without a proof that they did not run.
+	unprovedStarts int
+	tried          []core.HostID
+	// refusal is the last rejection, reported to the caller when no agent is left.
 	refusal    code.Code
 	retryAfter time.Duration
 
@@ -65,17 +64,17 @@
 
 func (r *request) isTried(host core.HostID) bool { return slices.Contains(r.tried, host) }
 
-// load returns the counters that the request adds to.
+// load returns the load estimate in which the request is counted.
 func (r *request) load() *load {
-	if r.place != nil {
-		return &r.place.load
+	if r.replica != nil {
+		return &r.replica.load
 	}
 	return &r.agent.load
 }
 
-// current returns the request whose current attempt at this agent is meant.
-// Late messages of an attempt that was given up, which would mix into the
-// answer of its successor, find nothing here: attempt numbers never repeat.
+// current returns the request if the attempt is its current one and at this agent, else
+// nil. It discards late messages of an attempt that was given up, which would otherwise
+// mix into the answer of its successor; attempt numbers never repeat.
 func (p *Part) current(a *agent, id core.AttemptID) *request {
 	r := p.requests[id.Request]
 	if r == nil || r.agent != a || r.attempt != id.Attempt || r.phase == phaseConnecting {
@@ -84,50 +83,49 @@
 	return r
 }
 
-// leave takes the request off its agent.
-func (p *Part) leave(r *request) {
+// releaseAgent detaches the request from its agent and resets the state of the attempt.
+func (p *Part) releaseAgent(r *request) {
 	a := r.agent
 	if a == nil {
 		return
 	}
 	r.load().release(r.accepted)
 	r.detach()
-	p.partIfDone(a)
+	p.acknowledgeLeaving(a)
 	r.phase, r.accepted, r.resumed, r.sentTo = phaseConnecting, false, false, 0
 	r.startsAt, r.recalled = 0, false
 }
 
-// abandon tells the agent that nobody waits for the attempt any more, now or
-// on the next connection.
-func (p *Part) abandon(r *request) {
+// cancelAttempt cancels the attempt at the agent, at once or on the next connection.
+func (p *Part) cancelAttempt(r *request) {
 	switch {
 	case r.agent == nil || r.phase == phaseConnecting:
 	case r.agent.up:
 		p.send(r.agent, core.Cancel{Attempt: r.attemptID()})
 	default:
-		r.agent.orphan(r.attemptID())
+		r.agent.queueCancel(r.attemptID())
 	}
 }
 
-// minRetryAfter is the least time that a refused caller is told to stay away.
+// minRetryAfter is the shortest Retry-After given to a refused caller.
 const minRetryAfter = time.Second
 
-// finish answers the caller for the last time and forgets the request. It is
-// called in the step in which the request is given up on.
+// finish sends the final answer and removes the request, in the step in which the outcome
+// is decided.
 func (p *Part) finish(r *request, result code.Code, retryAfter time.Duration) {
-	result = r.truth(result)
+	result = r.provenCode(result)
 	p.remove(r)
-	p.answered(r)
+	p.extendStopDelay(r)
 	p.end(r.arrived.ID, result, retryAfter)
 }
 
-// truth turns a "not run" code into what is proved. It guards against telling
-// a caller to repeat a call that ran: that would show as a second charge. The
-// one place through which all answers go checks the one counter of unproved
-// Starts, so no path can forget it.
-func (r *request) truth(result code.Code) code.Code {
+// provenCode replaces a "not run" code by one that is proved. It guards against telling a
+// caller to repeat a call that ran, which would for example charge twice. All final
+// answers go through finish, which checks the one counter of unproved Starts here, so no
+// path can omit the check.
+func (r *request) provenCode(result code.Code) code.Code {
 	switch {
-	case !result.NotRun() || r.unproved == 0 && !r.stream.head:
+	case !result.NotRun() || r.unprovedStarts == 0 && !r.stream.head:
 		return result
 	case result == code.DeadlinePassed:
 		return code.TimedOut
@@ -139,13 +137,13 @@
 }
 
 func (p *Part) remove(r *request) {
-	p.leave(r)
+	p.releaseAgent(r)
 	heap.Remove(&p.timers, r.timerIndex)
-	p.waiting.drop(r)
+	p.queue.release(r)
 	delete(p.requests, r.arrived.ID)
 }
 
-// end emits the final answer. Every 2xxx refusal tells when to come back.
+// end emits the final answer. Every 2xxx refusal has a Retry-After.
 func (p *Part) end(id core.RequestID, result code.Code, retryAfter time.Duration) {
 	if result >= code.DeadlineUnmet && result.NotRun() {
 		retryAfter = max(retryAfter, minRetryAfter)
@@ -154,14 +152,14 @@
 	p.emit(p.ends.of(result))
 }
 
-// deadlinePassed answers a request whose caller's time is over; truth tells a
+// deadlinePassed ends a request whose deadline has passed; provenCode distinguishes a
 // request that may have run from one that did not.
 func (p *Part) deadlinePassed(r *request) {
 	retryAfter := r.retryAfter
-	if r.place != nil {
-		retryAfter = max(retryAfter, r.place.load.readyAt.Sub(p.now))
+	if r.replica != nil {
+		retryAfter = max(retryAfter, r.replica.load.readyAt.Sub(p.now))
 	}
-	p.abandon(r)
+	p.cancelAttempt(r)
 	p.finish(r, code.DeadlinePassed, retryAfter)
 }
 
@@ -170,7 +168,7 @@
 	if r == nil {
 		return
 	}
-	p.abandon(r)
+	p.cancelAttempt(r)
 	p.remove(r)
 	p.emit(p.ends.of(code.Cancelled))
 }
--- a/internal/core/entry/services.go
+++ b/internal/core/entry/services.go
@@ -2,12 +2,12 @@
 
 import "nutmeglane.example/nutmeglane/internal/code"
 
-// nearLoad is the difference in requests below which two lagging load reports
-// tell nothing.
-const nearLoad = 1
+// loadTolerance is the difference in requests up to which loads count as equal, because
+// load reports lag.
+const loadTolerance = 1
 
-// chooseService picks an agent of a plain service by load, among a subset
-// that is stable for this entry so that connections stay bounded.
+// chooseService chooses an agent of a plain service by load, from a subset that is stable
+// for this entry so that the number of connections stays bounded.
 func (p *Part) chooseService(r *request, t *target) choice {
 	agents := p.services[t.service]
 	if r.arrived.Key != "" {
@@ -34,13 +34,13 @@
 	return choice{candidate: candidate{agent: agents[p.leastLoaded(agents, anyUp)]}}
 }
 
-// leastLoaded picks from the scratch list, connected agents first.
+// leastLoaded chooses from the scratch list, connected agents first.
 func (p *Part) leastLoaded(agents []*agent, anyUp bool) int {
-	all := keep(p.scratch, func(o *option) bool { return agents[o.number].up == anyUp })
+	all := partition(p.scratch, func(o *option) bool { return agents[o.number].up == anyUp })
 	least := all[0].load
 	for i := range all {
 		least = min(least, all[i].load)
 	}
-	near := keep(all, func(o *option) bool { return o.load <= least+nearLoad })
+	near := partition(all, func(o *option) bool { return o.load <= least+loadTolerance })
 	return p.twoChoices(near)
 }
--- a/internal/core/entry/size_test.go
+++ b/internal/core/entry/size_test.go
@@ -10,9 +10,9 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// BenchmarkState reports the bytes of an entry's state for each adapter (after
-// a request for it), replica slot and host at full size. The configuration's
-// snapshot, which all parts of a process share, is not counted.
+// BenchmarkState reports the bytes of an entry's state for each adapter (after a request
+// for it), replica slot and host at full fleet size. The configuration snapshot, which
+// all parts of a process share, is not counted.
 func BenchmarkState(b *testing.B) {
 	for b.Loop() {
 		part := New(Config{Host: "e", Zone: "z", Seed: 1}, peers.New(1))
--- a/internal/core/entry/slots.go
+++ b/internal/core/entry/slots.go
@@ -8,18 +8,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// model holds the places of one base model by slot index; a nil place is a
-// slot that has no owner yet.
+// model holds the replicas of one base model by slot index; a nil replica is a slot
+// without an owner.
 type model struct {
-	places []*place
+	replicas []*replica
 	// adapterMax is the AdapterMax of all its slots that have one, else 0.
 	adapterMax int
 	coldStart  average
 	runTime    average
 }
 
-// place is a slot under one owner and generation.
-type place struct {
+// replica is a slot under one owner and generation.
+type replica struct {
 	agent    *agent
 	state    core.LoadState
 	load     load
@@ -28,74 +28,74 @@
 	slot     core.Slot
 }
 
-// usable tells whether new work may go to the place. The incarnation check
-// guards against sending to a restarted agent, which does not own what its
-// predecessor owned; it would refuse, at the price of a round trip.
-func (pl *place) usable() bool {
-	return pl != nil && pl.slot.State == core.SlotOwned && pl.agent.usable() &&
-		(pl.agent.incarnation == 0 || pl.agent.incarnation == pl.slot.Incarnation)
+// usable reports whether new work may go to the replica. The incarnation check guards
+// against sending to a restarted agent, which does not own its predecessor's slots; it
+// would refuse, which costs a round trip.
+func (rep *replica) usable() bool {
+	return rep != nil && rep.slot.State == core.SlotOwned && rep.agent.usable() &&
+		(rep.agent.incarnation == 0 || rep.agent.incarnation == rep.slot.Incarnation)
 }
 
-func (pl *place) hasAdapter(name string) bool {
-	_, found := slices.BinarySearch(pl.adapters, name)
+func (rep *replica) hasAdapter(name string) bool {
+	_, found := slices.BinarySearch(rep.adapters, name)
 	return found
 }
 
-// forget drops the owner's last word but keeps the count of Starts on the way.
-func (pl *place) forget() {
-	pl.state, pl.adapters = core.Unloaded, nil
-	pl.load = load{sent: pl.load.sent}
+// reset drops the owner's last report but keeps the count of Starts in transit.
+func (rep *replica) reset() {
+	rep.state, rep.adapters = core.Unloaded, nil
+	rep.load = load{sent: rep.load.sent}
 }
 
-func (pl *place) learn(now core.Time, m *core.SlotLoad) {
-	if m.Generation != pl.slot.Generation {
+func (rep *replica) update(now core.Time, m *core.SlotLoad) {
+	if m.Generation != rep.slot.Generation {
 		return
 	}
-	pl.state, pl.adapters = m.State, m.Adapters
-	if !slices.IsSorted(pl.adapters) {
-		pl.adapters = slices.Sorted(slices.Values(pl.adapters))
+	rep.state, rep.adapters = m.State, m.Adapters
+	if !slices.IsSorted(rep.adapters) {
+		rep.adapters = slices.Sorted(slices.Values(rep.adapters))
 	}
-	pl.load.running, pl.load.queued = m.Running, m.Queued
-	pl.load.readyAt = now.Add(m.ReadyIn)
-	pl.load.firstAt = now.Add(m.ReadyIn - m.SkipIn)
+	rep.load.running, rep.load.queued = m.Running, m.Queued
+	rep.load.readyAt = now.Add(m.ReadyIn)
+	rep.load.newAccountReadyAt = now.Add(m.ReadyIn - m.SkipIn)
 }
 
-// accepted takes an owner's prediction for one request as that for the next,
-// until its next word. That of batch work at a loaded place says nothing: its
-// wait may be long, and interactive requests go before it.
-func (pl *place) accepted(now core.Time, startsIn time.Duration, priority api.Priority) {
-	if pl.state == core.Loaded && priority == api.PriorityBatch {
+// applyPrediction uses an owner's predicted start of one request as that of the next one,
+// until the owner's next report. The prediction for batch work at a loaded replica is
+// ignored: its wait may be long, and interactive requests go before it.
+func (rep *replica) applyPrediction(now core.Time, startsIn time.Duration, priority api.Priority) {
+	if rep.state == core.Loaded && priority == api.PriorityBatch {
 		return
 	}
-	pl.load.readyAt = now.Add(startsIn)
-	if pl.state != core.Loaded {
-		pl.load.firstAt = pl.load.readyAt
+	rep.load.readyAt = now.Add(startsIn)
+	if rep.state != core.Loaded {
+		rep.load.newAccountReadyAt = rep.load.readyAt
 	}
 }
 
-func (p *Part) place(id core.SlotID) *place {
+func (p *Part) replica(id core.SlotID) *replica {
 	m := p.models[id.Model]
-	if m == nil || int(id.Index) >= len(m.places) {
+	if m == nil || int(id.Index) >= len(m.replicas) {
 		return nil
 	}
-	return m.places[id.Index]
+	return m.replicas[id.Index]
 }
 
-// slotTable replaces the places of all models of one table chunk.
+// slotTable replaces the replicas of all models in one chunk of the slot table.
 func (p *Part) slotTable(ev core.KVValue) error {
 	var table core.SlotTable
 	if err := core.DecodeValue(ev.Value, &table); err != nil {
 		return err
 	}
-	old := map[core.SlotID]*place{}
+	old := map[core.SlotID]*replica{}
 	for _, name := range p.chunks[ev.Key] {
 		m := p.models[name]
-		for _, pl := range m.places {
-			if pl != nil {
-				old[pl.slot.ID] = pl
+		for _, rep := range m.replicas {
+			if rep != nil {
+				old[rep.slot.ID] = rep
 			}
 		}
-		m.places, m.adapterMax = nil, 0
+		m.replicas, m.adapterMax = nil, 0
 	}
 	names := p.chunks[ev.Key][:0]
 	for i := range table.Slots {
@@ -110,62 +110,63 @@
 	return nil
 }
 
-func sortedSlots(places map[core.SlotID]*place) []core.SlotID {
-	ids := make([]core.SlotID, 0, len(places))
-	for id := range places {
+func sortedSlots(replicas map[core.SlotID]*replica) []core.SlotID {
+	ids := make([]core.SlotID, 0, len(replicas))
+	for id := range replicas {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, compareSlots)
 	return ids
 }
 
-func (p *Part) addSlot(slot *core.Slot, old map[core.SlotID]*place) {
+func (p *Part) addSlot(slot *core.Slot, old map[core.SlotID]*replica) {
 	m := p.models[slot.ID.Model]
 	if m == nil {
 		m = &model{}
 		p.models[slot.ID.Model] = m
 	}
 	m.adapterMax = max(m.adapterMax, int(slot.AdapterMax))
-	for len(m.places) <= int(slot.ID.Index) {
-		m.places = append(m.places, nil)
+	for len(m.replicas) <= int(slot.ID.Index) {
+		m.replicas = append(m.replicas, nil)
 	}
-	pl := old[slot.ID]
-	if pl != nil && pl.slot.Owner == slot.Owner && pl.slot.Generation == slot.Generation {
+	rep := old[slot.ID]
+	if rep != nil && rep.slot.Owner == slot.Owner && rep.slot.Generation == slot.Generation {
 		delete(old, slot.ID)
-		pl.slot = *slot
+		rep.slot = *slot
 	} else {
-		pl = p.newPlace(*slot, m)
+		rep = p.newReplica(*slot, m)
 	}
-	m.places[slot.ID.Index] = pl
+	m.replicas[slot.ID.Index] = rep
 }
 
-// newPlace applies the owner's last word, which may have come before the table.
-func (p *Part) newPlace(slot core.Slot, m *model) *place {
+// newReplica applies the owner's last report, which may have arrived before the slot
+// table.
+func (p *Part) newReplica(slot core.Slot, m *model) *replica {
 	a := p.agent(slot.Owner)
-	pl := &place{slot: slot, agent: a, model: m}
-	a.places = append(a.places, pl)
-	if a.lastWord == nil {
-		return pl
-	}
-	for i := range a.lastWord.Slots {
-		if a.lastWord.Slots[i].Slot == slot.ID {
-			pl.learn(p.now, &a.lastWord.Slots[i])
+	rep := &replica{slot: slot, agent: a, model: m}
+	a.replicas = append(a.replicas, rep)
+	if a.lastStatus == nil {
+		return rep
+	}
+	for i := range a.lastStatus.Slots {
+		if a.lastStatus.Slots[i].Slot == slot.ID {
+			rep.update(p.now, &a.lastStatus.Slots[i])
 		}
 	}
-	return pl
+	return rep
 }
 
-func (pl *place) drop() {
-	a := pl.agent
-	if i := slices.Index(a.places, pl); i >= 0 {
-		a.places = slices.Delete(a.places, i, i+1)
+func (rep *replica) drop() {
+	a := rep.agent
+	if i := slices.Index(a.replicas, rep); i >= 0 {
+		a.replicas = slices.Delete(a.replicas, i, i+1)
 	}
 }
 
 // average is an exponentially weighted moving average of durations.
 type average struct{ value time.Duration }
 
-// averageWeight is the share of the newest value, as 1/averageWeight.
+// averageWeight: the newest value has a weight of 1/averageWeight.
 const averageWeight = 4
 
 func (v *average) add(d time.Duration) {
@@ -176,7 +177,7 @@
 	v.value += (d - v.value) / averageWeight
 }
 
-func (v *average) or(fallback time.Duration) time.Duration {
+func (v *average) valueOr(fallback time.Duration) time.Duration {
 	if v.value == 0 {
 		return fallback
 	}
--- a/internal/core/entry/stop.go
+++ b/internal/core/entry/stop.go
@@ -13,23 +13,23 @@
 	stopping bool
 	began    core.Time
 	delay    time.Duration
-	// refuseAt ends the delay in which new requests are still taken.
+	// refuseAt ends the delay in which new requests are still accepted.
 	refuseAt core.Time
 	limit    core.Time
-	// recallAt is when what has not begun to run is called back.
+	// recallAt is when requests that have not started to run are recalled.
 	recallAt core.Time
 	recalled bool
 	exited   bool
 }
 
 const (
-	// recallLead is the time before the limit in which an agent says what has not begun;
-	// recallPart bounds it to a part of the whole time.
-	recallLead = 500 * time.Millisecond
-	recallPart = 4
-	// stopMargin is how many times its usual run a request must have left before the
-	// limit.
-	stopMargin = 2
+	// recallLead is the time before the limit in which agents report which requests have
+	// not started; 1/recallDivisor of the whole shutdown time bounds it.
+	recallLead    = 500 * time.Millisecond
+	recallDivisor = 4
+	// stopRunFactor is how many times its usual run time a request must have left before
+	// the limit.
+	stopRunFactor = 2
 )
 
 func (s *stopState) refuses(now core.Time) bool { return s.stopping && now >= min(s.refuseAt, s.limit) }
@@ -47,12 +47,12 @@
 	}
 }
 
-// beginStop turns readiness off first, so that the balancer stops sending;
-// what is in flight goes on.
+// beginStop clears readiness first, so that the load balancer stops sending; requests in
+// flight continue.
 //
-// The delay guards against a planned stop that is seen by callers: until the
-// balancer looks again it sends new requests here, and refusing them, or
-// exiting because none is in flight, would show as failed requests.
+// The delay guards against failures during a planned stop: until the load balancer's next
+// check it sends new requests here, and refusing them, or exiting because none is in
+// flight, would show as failed requests.
 func (p *Part) beginStop(ev core.Stop) {
 	if p.stop.stopping {
 		return
@@ -60,15 +60,15 @@
 	p.stop = stopState{
 		stopping: true, began: p.now, delay: ev.Delay,
 		refuseAt: p.now.Add(ev.Delay), limit: p.now.Add(ev.Limit),
-		recallAt: p.now.Add(ev.Limit - min(recallLead, ev.Limit/recallPart)),
+		recallAt: p.now.Add(ev.Limit - min(recallLead, ev.Limit/recallDivisor)),
 	}
 	p.emit(core.Ready{Ready: false})
-	p.recallAll(func(r *request) bool { return !p.endsInTime(r.place, r.startsAt) })
+	p.recallAll(func(r *request) bool { return !p.endsInTime(r.replica, r.startsAt) })
 }
 
-// endsInTime tells whether a run that starts at a time can be expected to end before the
-// process does.
-func (p *Part) endsInTime(at *place, starts core.Time) bool {
+// endsInTime reports whether a run that starts at the given time is expected to end
+// before the process exits.
+func (p *Part) endsInTime(at *replica, starts core.Time) bool {
 	if !p.stop.stopping {
 		return true
 	}
@@ -76,20 +76,20 @@
 	if at != nil {
 		run = at.model.runTime.value
 	}
-	return max(p.now, starts).Add(stopMargin*run) < p.stop.limit
+	return max(p.now, starts).Add(stopRunFactor*run) < p.stop.limit
 }
 
-// inTime tells whether a request that is sent to a candidate now can be expected to end
-// before the process does.
+// inTime reports whether a request sent to the candidate at once is expected to end
+// before the process exits.
 func (p *Part) inTime(c *choice) bool {
 	wait := c.wait
 	if c.cold {
-		wait += c.place.model.coldStart.or(p.limits.ColdStart)
+		wait += c.replica.model.coldStart.valueOr(p.limits.ColdStart)
 	}
-	return !p.stop.recalled && p.endsInTime(c.place, p.now.Add(wait))
+	return !p.stop.recalled && p.endsInTime(c.replica, p.now.Add(wait))
 }
 
-// recallAll calls back the requests of which says so.
+// recallAll recalls the requests that match the filter.
 func (p *Part) recallAll(which func(*request) bool) {
 	for _, r := range slices.Clone(p.timers) {
 		if which(r) {
@@ -98,11 +98,11 @@
 	}
 }
 
-// recall ends a request that has not begun to run. One that was sent is refused once its
-// agent says that it had not begun.
+// recall ends a request that has not started to run. One that was sent is refused once
+// its agent confirms that it had not started.
 //
-// It guards against requests that wait until the process ends and are cut then: their
-// callers would not know that they can send them again.
+// It guards against requests that wait until the process exits and are cut then: their
+// callers would not know that they can safely retry.
 func (p *Part) recall(r *request) {
 	switch {
 	case r.stream.head || r.stream.progress || r.recalled:
@@ -114,17 +114,17 @@
 	}
 }
 
-// answered begins the delay anew when a request from before the stop ends. Its
-// answer's head went out before the caller could be told to close the
-// connection, so one more request may come on it.
-func (p *Part) answered(r *request) {
-	if p.stop.stopping && r.began < p.stop.began {
+// extendStopDelay restarts the delay when a request from before the stop ends. The head
+// of its answer was sent before the caller could be told to close the connection, so one
+// more request may arrive on it.
+func (p *Part) extendStopDelay(r *request) {
+	if p.stop.stopping && r.arrivedAt < p.stop.began {
 		p.stop.refuseAt = max(p.stop.refuseAt, p.now.Add(p.stop.delay))
 	}
 }
 
-// stopLimit ends what is left when the time for the shutdown is over, and calls back what
-// has not begun shortly before.
+// stopLimit ends the remaining requests when the limit of the shutdown is reached;
+// shortly before, it recalls those that have not started.
 func (p *Part) stopLimit() {
 	switch {
 	case !p.stop.stopping || p.now < p.stop.recallAt:
@@ -139,7 +139,7 @@
 func (p *Part) cutAll() {
 	for len(p.timers) > 0 {
 		r := p.timers[0]
-		p.abandon(r)
+		p.cancelAttempt(r)
 		p.finish(r, code.Draining, 0)
 	}
 }
--- a/internal/core/entry/target.go
+++ b/internal/core/entry/target.go
@@ -14,22 +14,22 @@
 }
 
 // adapterOrder caches core.AdapterSlots of one adapter; it stays valid across
-// configurations and slot tables that leave both counts alone.
+// configurations and slot tables that leave both counts unchanged.
 type adapterOrder struct {
 	count, max int
 	indexes    []uint16
 }
 
-// target is what a request resolved to under the configuration in force.
+// target is what a request's target resolves to under the configuration in force.
 type target struct {
-	base    *model // nil for services, or while no slot is known
+	base    *model // nil for services, or while no slot table names the model
 	max     int    // slots of the base model
 	order   []uint16
 	adapter string
-	// moving is set while no slot of the base may hold adapters.
+	// moving is set while no slot of the base model may hold adapters.
 	moving  bool
 	service string
-	// concurrent is the number of requests a replica runs at a time.
+	// concurrent is the number of requests that a replica runs at a time.
 	concurrent int
 	priority   api.Priority
 }
@@ -51,17 +51,17 @@
 	return i
 }
 
-// place returns the i-th place in preference order, or nil if it has none.
-func (t *target) place(i int) *place {
+// replica returns the i-th replica in preference order, or nil if that slot has none.
+func (t *target) replica(i int) *replica {
 	index := t.index(i)
-	if t.base == nil || index >= len(t.base.places) {
+	if t.base == nil || index >= len(t.base.replicas) {
 		return nil
 	}
-	pl := t.base.places[index]
-	if t.adapter != "" && pl != nil && pl.slot.AdapterMax == 0 {
+	rep := t.base.replicas[index]
+	if t.adapter != "" && rep != nil && rep.slot.AdapterMax == 0 {
 		return nil
 	}
-	return pl
+	return rep
 }
 
 // resolve looks a request's target up in the configuration.
@@ -114,7 +114,7 @@
 	t.adapter = want.Adapter
 	if t.base != nil {
 		t.order = p.adapterSlots(want.Adapter, adapter.Spec.Replicas.Max, t.base.adapterMax)
-		t.moving = t.base.adapterMax == 0 && len(t.base.places) > 0
+		t.moving = t.base.adapterMax == 0 && len(t.base.replicas) > 0
 	}
 	t.priority = cmp.Or(adapter.Spec.Priority, t.priority)
 	return t, code.OK
--- a/internal/core/entry/timers.go
+++ b/internal/core/entry/timers.go
@@ -6,8 +6,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// timerHeap orders requests by their next timer, so that a tick costs as much
-// as what is due and not as much as what is held.
+// timerHeap orders requests by their next timer, so that the cost of a tick depends on
+// the timers due and not on the number of requests held.
 type timerHeap []*request
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -35,14 +35,14 @@
 	return r
 }
 
-// setTimer wakes the request at the given time, or at its deadline if that is
+// setTimer sets the request's timer to the given time, or to its deadline if that is
 // earlier.
 func (p *Part) setTimer(r *request, at core.Time) {
 	r.timer = min(at, r.deadline)
 	heap.Fix(&p.timers, r.timerIndex)
 }
 
-// expire handles every request whose time has come.
+// expire handles every request whose timer has expired.
 func (p *Part) expire() {
 	for len(p.timers) > 0 && p.timers[0].timer <= p.now {
 		r := p.timers[0]
@@ -51,18 +51,18 @@
 			continue
 		}
 		p.setTimer(r, r.deadline)
-		p.waitOver(r)
+		p.connectionWaitExpired(r)
 	}
 	p.stopLimit()
 }
 
-// waitOver ends the wait for a connection, before or after the Start.
-func (p *Part) waitOver(r *request) {
+// connectionWaitExpired ends the wait for a connection, before or after the Start.
+func (p *Part) connectionWaitExpired(r *request) {
 	switch r.phase {
 	case phaseConnecting:
 		p.nextCandidate(r, reasonUnreachable)
 	case phaseBroken:
-		p.abandon(r)
-		p.lost(r, reasonLost)
+		p.cancelAttempt(r)
+		p.handleLost(r, reasonLost)
 	}
 }
