--- a/internal/core/placement/balance.go
+++ b/internal/core/placement/balance.go
@@ -7,22 +7,22 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// moveMargin is how much lower the expected pressure and load cost of the new
-// place must be, the slot itself included.
+// moveMargin is how much lower the sum of pressure and load cost must be at the new host,
+// the slot itself included.
 //
-// Failure: a slot whose two places are about equal moves to and fro, and each
-// time its checkpoint is read from the store again. Guard: each move lowers the
-// fleet's sum of (pressure squared / 2 + share of memory * cost) by at least the
-// margin times the slot's pressure, so that on hosts of one size a series of
-// moves ends, whatever their order.
+// Failure: a slot whose two best hosts are about equal moves back and forth, and each
+// time its checkpoint is read from the store again. Guard: each move lowers the fleet's
+// sum of (pressure squared / 2 + share of memory * cost) by at least the margin times the
+// slot's pressure, so that on hosts of one size a series of moves ends, whatever their
+// order.
 const moveMargin = 0.10
 
-// pressureOf is what the slot adds to the host's pressure.
+// pressureOf returns what the slot adds to the host's pressure.
 func (n *node) pressureOf(s Slot) float64 {
 	return s.share() * float64(s.MemoryMiB) / float64(max(n.host.MemoryMiB, 1))
 }
 
-// costOf is the cost of the first load of a checkpoint on the host.
+// costOf returns the cost of the first load of a checkpoint on the host.
 func (p *Planner) costOf(key string, n *node) float64 {
 	for _, c := range p.cached[key] {
 		if c.node == n {
@@ -32,8 +32,7 @@
 	return costRemote
 }
 
-// Vacate records that a slot is about to leave a host at which it was put by
-// Occupy or Place.
+// Vacate records that a slot is about to leave a host at which Occupy or Place put it.
 func (p *Planner) Vacate(s Slot, host core.HostID) {
 	n := p.nodes[host]
 	if n == nil {
@@ -51,7 +50,7 @@
 	heap.Fix(&p.zones[n.zone], n.position)
 }
 
-// Pressure is the expected use of the host's memory, 1 when it is just full.
+// Pressure returns the expected use of the host's memory; 1 means just full.
 func (p *Planner) Pressure(host core.HostID) float64 {
 	if n := p.nodes[host]; n != nil {
 		return n.pressure
@@ -59,9 +58,9 @@
 	return 0
 }
 
-// BetterHost returns a host that is better for the slot by the margin than the
-// one it is at, if any. Zones stay as even as they are: another zone is taken
-// only if it has fewer slots of the model.
+// BetterHost returns a host that is better for the slot by at least moveMargin than its
+// present one, if there is any. The spread over availability zones does not get less
+// even: another zone is chosen only if it has fewer slots of the model.
 func (p *Planner) BetterHost(s Slot, host core.HostID) (core.HostID, bool) {
 	from := p.nodes[host]
 	if from == nil {
@@ -87,8 +86,8 @@
 	return best.node.host.ID, true
 }
 
-// BestWithRoom returns the best of the hosts that have room for the slot now, by
-// the caller's knowledge; pressures are not compared with the present host's.
+// BestWithRoom returns the best of the hosts for which hasRoom reports that the slot fits
+// at present; pressures are not compared with that of the present host.
 func (p *Planner) BestWithRoom(s Slot, host core.HostID, hasRoom func(core.HostID) bool) (core.HostID, bool) {
 	from := p.nodes[host]
 	if from == nil {
@@ -112,7 +111,7 @@
 	return best.node.host.ID, true
 }
 
-// zonesFor are the zones to which a slot at a host may move.
+// zonesFor returns the zones to which a slot at a host may move.
 func (p *Planner) zonesFor(s Slot, from *node) []int {
 	sp := p.spreadOf(s.ID.Model)
 	var zones []int
@@ -124,7 +123,7 @@
 	return zones
 }
 
-// leastCost is a bound from below of what bestInZone can find.
+// leastCost returns a lower bound of the cost that bestInZone can find.
 func (p *Planner) leastCost(s Slot, zone int) float64 {
 	least := p.zones[zone][0].pressure
 	if len(p.cached[s.Key]) == 0 {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement chooses the host of each replica slot. It is a pure
-// function of its inputs: the same hosts and slots in the same order give the
-// same places at every process. It knows nothing of tenures or of the KV
-// service; package steward decides which slots need a place.
+// Package placement chooses the host of each replica slot. It is a pure function of its
+// inputs: the same hosts and slots in the same order give the same result in every
+// process. Tenures and the KV service are outside its scope; package steward decides
+// which slots need a host.
 package placement
 
 import (
@@ -13,18 +13,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Share of its time that a slot is expected to be in accelerator memory. Slots
-// may outnumber what fits at once, because most models are idle most of the
-// time; the sum of shares is what placement balances.
+// Expected share of time that a slot is in accelerator memory. Slots may outnumber what
+// fits at once, because most models are idle most of the time; placement balances the sum
+// of shares.
 const (
 	shareResident    = 1.0
 	shareInteractive = 0.3
 	shareBatch       = 0.1
 )
 
-// Cost of the first load from each cache tier, in units of memory pressure: a
-// host with the checkpoint on disk is preferred to one without as long as its
-// expected memory use is less than a quarter of the host fuller.
+// Cost of the first load from each cache tier, in units of memory pressure: a host with
+// the checkpoint on disk is preferred to one without as long as its expected memory use
+// is higher by less than a quarter of the host's memory.
 const (
 	costMemory = 0
 	costDisk   = 0.05
@@ -36,11 +36,11 @@
 	ID        core.HostID
 	Zone      core.Zone
 	MemoryMiB int64
-	// Cached lists the checkpoints near the host.
+	// Cached lists the checkpoints in the host's cache tiers.
 	Cached []core.CachedCheckpoint
 }
 
-// Slot is a replica place that needs a host.
+// Slot is a replica slot that needs a host.
 type Slot struct {
 	ID core.SlotID
 	// Key is the checkpoint, "<model>@<version>".
@@ -63,8 +63,8 @@
 	}
 }
 
-// Compare orders slots by their need of a good place: resident first, then
-// interactive, then large, then by model and index.
+// Compare orders slots for placement: resident first, then interactive, then large, then
+// by model and index.
 func Compare(a, b Slot) int {
 	return cmp.Or(
 		cmp.Compare(b.share(), a.share()),
@@ -74,13 +74,13 @@
 	)
 }
 
-// node is a host and what is placed on it so far.
+// node is a host and the slots placed on it so far.
 type node struct {
 	host        Host
 	zone        int
 	pressure    float64
 	residentMiB int64
-	// position in the zone's heap.
+	// position is the index in the zone's heap.
 	position int
 }
 
@@ -103,7 +103,7 @@
 	zones  []zoneHeap
 	nodes  map[core.HostID]*node
 	models map[string]*spread
-	// cached lists the nodes near a checkpoint; built at the first Place.
+	// cached lists the nodes that have a checkpoint in a cache tier; built on first use.
 	cached map[string][]cachedNode
 }
 
@@ -134,8 +134,8 @@
 // Has reports whether the host can take slots.
 func (p *Planner) Has(host core.HostID) bool { return p.nodes[host] != nil }
 
-// Occupy records that a slot is at a host. Hosts that can't take slots are
-// ignored: what they hold does not influence the places of others.
+// Occupy records that a slot is at a host. Hosts that can't take slots are ignored: what
+// they hold does not influence the placement of others.
 func (p *Planner) Occupy(s Slot, host core.HostID) {
 	if n := p.nodes[host]; n != nil {
 		p.occupy(s, n)
@@ -162,10 +162,10 @@
 	return sp
 }
 
-// Place chooses a host for the slot and occupies it. The zone with the fewest
-// slots of the model comes first, then the lowest sum of memory pressure and
-// load cost. A host takes at most one slot of a model, as an engine holds a
-// checkpoint once. It returns false when no host fits.
+// Place chooses a host for the slot and occupies it. The zone with the fewest slots of
+// the model comes first, then the lowest sum of memory pressure and load cost. A host
+// takes at most one slot of a model, as an engine holds a checkpoint once. Place returns
+// false if the slot fits no host.
 func (p *Planner) Place(s Slot) (core.HostID, bool) {
 	if p.cached == nil {
 		p.indexCached()
@@ -205,7 +205,7 @@
 
 func (p *Planner) bestInZone(s Slot, sp *spread, zone int) choice {
 	best := choice{}
-	if n := p.leastPressed(s, sp, zone); n != nil {
+	if n := p.leastPressure(s, sp, zone); n != nil {
 		best = choice{n, n.pressure + costRemote}
 	}
 	for _, c := range p.cached[s.Key] {
@@ -223,9 +223,9 @@
 	return n.fits(s) && !slices.Contains(sp.nodes, n)
 }
 
-// leastPressed takes nodes off the zone's heap until one is usable, and puts
-// them back.
-func (p *Planner) leastPressed(s Slot, sp *spread, zone int) *node {
+// leastPressure returns the usable node with the lowest pressure. It pops nodes off the
+// zone's heap until one is usable, and pushes them back.
+func (p *Planner) leastPressure(s Slot, sp *spread, zone int) *node {
 	h := &p.zones[zone]
 	var found *node
 	var popped []*node
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -51,20 +51,20 @@
 		t.Error("the first resident slot found no host")
 	}
 	if host, ok := p.Place(b); ok {
-		t.Errorf("the second resident slot went to %s, past its memory", host)
+		t.Errorf("the second resident slot was placed at %s, which exceeds its memory", host)
 	}
 }
 
-// TestPlacesHold draws hosts and models: each slot fits its host, no host has
-// two slots of a model, zones differ by at most one slot of a model while each
-// has room, and the order of the hosts does not matter.
-func TestPlacesHold(t *testing.T) {
+// TestPlacementInvariants draws hosts and models: each slot fits its host, no host has
+// two slots of a model, zones differ by at most one slot of a model while each has room,
+// and the order of the hosts does not matter.
+func TestPlacementInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones, perZone := rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 6).Draw(t, "hosts")
 		hosts := hostsIn(zones, perZone)
-		turned := slices.Clone(hosts)
-		slices.Reverse(turned)
-		a, b := New(hosts), New(turned)
+		reversed := slices.Clone(hosts)
+		slices.Reverse(reversed)
+		a, b := New(hosts), New(reversed)
 		for m := range rapid.IntRange(1, 8).Draw(t, "models") {
 			counts := map[core.Zone]int{}
 			used := map[core.HostID]bool{}
