--- a/internal/core/permits/permits.go
+++ b/internal/core/permits/permits.go
@@ -1,11 +1,10 @@
-// Package permits shares the weight store's lanes among all agents. The entry
-// that is the steward counts the loads that agents tell it of, and lets
-// background reads (prefetches) begin only while lanes are free.
+// Package permits shares the checkpoint store's lanes among all agents. The entry that is
+// the steward counts the loads that agents report, and grants permits for background
+// reads (prefetches) only while lanes are free.
 //
-// A load that a caller waits for never waits for a permit: its request is a
-// notice, granted and counted at once. So a steward that is away, or two of
-// them, can cost speed but no cold start. An agent that reaches no steward
-// does not prefetch.
+// A load that a caller waits for never waits for a permit: its request is only a
+// notification, counted at once. So a missing steward, or two of them, can slow loads
+// down but never block a cold start. An agent that reaches no steward does not prefetch.
 package permits
 
 import (
@@ -18,12 +17,13 @@
 )
 
 const (
-	// GrantLifetime bounds a grant whose agent never says that it is done.
+	// GrantLifetime bounds a grant whose agent never sends PermitDone.
 	GrantLifetime = 15 * time.Minute
-	// reservedLanes are left free by background reads, for the next cold start.
+	// reservedLanes is the number of lanes that background reads leave free, for the next
+	// cold start.
 	reservedLanes = 1
-	// maxWaiting bounds the background requests that are kept; agents ask
-	// again, one at a time.
+	// maxWaiting bounds the background requests that are queued; agents repeat their
+	// requests, one at a time.
 	maxWaiting = 4096
 )
 
@@ -32,9 +32,9 @@
 	now   core.Time
 	lanes int
 	rate  float64
-	// active are the reads under way, by host and sequence.
+	// active holds the end of the grant of each read in progress, by host and sequence.
 	active map[id]core.Time
-	// waiting are background requests, the next first.
+	// waiting holds the queued background requests, the next one first.
 	waiting []request
 	// nextStart is the earliest start of the next background read.
 	nextStart core.Time
@@ -55,8 +55,7 @@
 
 var _ core.Part = (*Part)(nil)
 
-// New returns a part that keeps to the defaults until a configuration is in
-// force.
+// New returns a part that uses the default limits until a configuration is in force.
 func New() *Part {
 	return &Part{
 		lanes: api.DefaultStoreLanes, rate: api.DefaultStoreLoadsPerSecond,
@@ -77,7 +76,7 @@
 	case core.PeerDown:
 		p.forget(ev.Peer)
 	case core.PeerUp:
-		// The agent's process or connection is new: it asks again.
+		// The agent's process or connection is new: it repeats its requests.
 		p.forget(ev.Peer)
 	case core.Tick:
 		p.expire()
@@ -97,16 +96,16 @@
 	}
 }
 
-func (p *Part) ask(who id, m core.PermitRequest) {
+func (p *Part) ask(key id, m core.PermitRequest) {
 	if m.Priority == api.PriorityInteractive {
-		p.active[who] = p.now.Add(GrantLifetime)
+		p.active[key] = p.now.Add(GrantLifetime)
 		return
 	}
 	if len(p.waiting) == maxWaiting {
 		return
 	}
 	p.arrivals++
-	r := request{id: who, deadline: p.now.Add(m.Remaining), order: p.arrivals}
+	r := request{id: key, deadline: p.now.Add(m.Remaining), order: p.arrivals}
 	at, _ := slices.BinarySearchFunc(p.waiting, r, compare)
 	p.waiting = slices.Insert(p.waiting, at, r)
 }
@@ -115,29 +114,29 @@
 	return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.order, b.order))
 }
 
-func (p *Part) drop(who id) {
-	delete(p.active, who)
-	p.waiting = slices.DeleteFunc(p.waiting, func(r request) bool { return r.id == who })
+func (p *Part) drop(key id) {
+	delete(p.active, key)
+	p.waiting = slices.DeleteFunc(p.waiting, func(r request) bool { return r.id == key })
 }
 
 func (p *Part) forget(host core.HostID) {
-	for who := range p.active { // each by itself: order has no effect
-		if who.host == host {
-			delete(p.active, who)
+	for key := range p.active { // independent deletions: order has no effect
+		if key.host == host {
+			delete(p.active, key)
 		}
 	}
 	p.waiting = slices.DeleteFunc(p.waiting, func(r request) bool { return r.id.host == host })
 }
 
 func (p *Part) expire() {
-	for who, end := range p.active { // each by itself: order has no effect
+	for key, end := range p.active { // independent deletions: order has no effect
 		if end <= p.now {
-			delete(p.active, who)
+			delete(p.active, key)
 		}
 	}
 }
 
-// grant lets background reads begin while lanes are free.
+// grant sends permits for background reads while lanes are free.
 func (p *Part) grant() {
 	for len(p.waiting) > 0 && len(p.active) < max(1, p.lanes-reservedLanes) {
 		next := p.waiting[0]
@@ -160,7 +159,7 @@
 	return next
 }
 
-// State is the dump of the part.
+// State is the part's state dump.
 type State struct {
 	Lanes   int `json:"lanes"`
 	Active  int `json:"active"`
--- a/internal/core/permits/permits_test.go
+++ b/internal/core/permits/permits_test.go
@@ -10,7 +10,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// fixture steps a part and keeps the hosts that were granted permits.
+// fixture steps a part and records the hosts that were granted permits.
 type fixture struct {
 	part    *Part
 	now     core.Time
@@ -41,9 +41,9 @@
 	f.granted = nil
 }
 
-// Three cold starts read from the store when agents ask to prefetch. Were the
-// prefetches let in, all would share four lanes and the inspectors wait longer.
-// They begin one by one as the cold starts end, the earliest deadline first.
+// Three cold starts read from the store when agents request prefetches. If the prefetches
+// were granted at once, all would share four lanes and the callers would wait longer.
+// They start one by one as the cold starts end, the earliest deadline first.
 func TestPrefetchWaitsForColdStarts(t *testing.T) {
 	f := newFixture()
 	for _, host := range []core.HostID{"a", "b", "c"} {
@@ -58,9 +58,9 @@
 	f.expect(t, "late")
 }
 
-// An agent dies in the middle of a read and never says that it is done. Its
-// lane must come free, when its connection ends or at the latest after GrantLifetime,
-// or prefetching stops for good.
+// An agent fails in the middle of a read and never sends PermitDone. Its lane must become
+// free, when its connection ends or at the latest after GrantLifetime, or prefetching
+// stops permanently.
 func TestDeadAgentFreesItsLane(t *testing.T) {
 	f := newFixture()
 	for _, host := range []core.HostID{"a", "b", "c", "d"} {
