--- a/internal/core/idle/idle.go
+++ b/internal/core/idle/idle.go
@@ -1,16 +1,16 @@
-// Package idle decides how long a model or adapter that nobody calls stays
-// loaded, from its own history of gaps between requests and from two prices:
-// what a second of cold start costs and what an hour of an idle accelerator
-// costs. It is pure and draws no random numbers.
+// Package idle decides how long a model or adapter without requests stays loaded, from
+// its own history of gaps between requests and from two prices: the cost of a second of
+// cold start and the cost of an hour of an idle accelerator. It is pure and draws no
+// random numbers.
 //
-// The rule minimises the expected cost of one gap of unknown length X when the
-// model is kept for a time T:
+// The rule minimises the expected cost of one gap of unknown length X when the model is
+// kept for a time T:
 //
 //	idlePrice * share * E[min(X, T)]  +  coldPrice * coldSeconds * P(X > T)
 //
-// over the T at the edges of the history's buckets. A model with little
-// history of its own borrows from the pooled history of all models of the
-// process, weighted as PriorWeight observed gaps.
+// over the T at the edges of the history's buckets. The history of a model is combined
+// with the pooled history of all models of the process, weighted as PriorWeight observed
+// gaps, which dominates while the model has few gaps of its own.
 package idle
 
 import (
@@ -20,7 +20,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Prices of a deployment.
+// Prices are the prices of a deployment.
 type Prices struct {
 	// ColdSecond is the cost of one second of cold start.
 	ColdSecond float64
@@ -28,30 +28,30 @@
 	IdleHour float64
 }
 
-// Cost describes what keeping or reloading one key means.
+// Cost describes the cost of keeping and of reloading one key.
 type Cost struct {
-	// Share is the part of an accelerator, or the number of accelerators,
-	// that the key holds while loaded.
+	// Share is the fraction of an accelerator, or the number of accelerators, that the
+	// key occupies while loaded.
 	Share float64
-	// Cold is the predicted duration of its next cold start.
+	// Cold is the predicted duration of the key's next cold start.
 	Cold time.Duration
-	// Weight multiplies the price of its cold start: 1 for a caller who waits.
+	// Weight multiplies the price of the key's cold start: 1 for a caller who waits.
 	Weight float64
 }
 
-// The history's buckets: gaps up to firstEdge, then growing by growth, so that
-// bucketCount of them reach over two days.
+// The history's buckets: gaps up to firstEdge, then growing by the factor growth, so that
+// bucketCount of them cover more than two days.
 const (
 	bucketCount = 40
 	firstEdge   = 2 * time.Second
 	growth      = 1.32
 )
 
-// PriorWeight is the number of gaps of its own at which a key's history counts
-// as much as the pooled one.
+// PriorWeight is the number of its own gaps at which a key's history counts as much as
+// the pooled one.
 const PriorWeight = 8
 
-// halfLife is the number of gaps after which an observed gap counts half.
+// halfLife is the number of later gaps after which an observed gap counts half.
 const halfLife = 64
 
 var edges = makeEdges()
@@ -66,7 +66,8 @@
 	return e
 }
 
-// history counts gaps by bucket; the last bucket holds all longer ones.
+// history counts gaps by bucket, with exponential decay; the last bucket holds all longer
+// ones.
 type history struct {
 	counts [bucketCount + 1]float32
 	total  float32
@@ -93,7 +94,8 @@
 	return bucketCount
 }
 
-// Policy holds the histories of one process. The zero value is not usable.
+// Policy holds the histories of one process and decides by them. The zero value is not
+// usable.
 type Policy struct {
 	prices Prices
 	cost   func(key string) Cost
@@ -104,18 +106,18 @@
 type keyState struct {
 	history history
 	last    core.Time
-	// keep is the best time to stay loaded after last, for price and history
-	// at that moment; it is worked out on the first question after an arrival.
-	keep  time.Duration
-	known bool
+	// keep is the best time to stay loaded after last, for the prices and history at that
+	// time; it is computed on the first KeepUntil after an arrival. keepValid is set while it
+	// is valid.
+	keep      time.Duration
+	keepValid bool
 }
 
-// New returns a policy. cost is asked for a key whenever its keep time is
-// worked out.
+// New returns a policy. cost is called for a key whenever its keep time is computed.
 func New(prices Prices, cost func(key string) Cost) *Policy {
 	p := &Policy{prices: prices, cost: cost, keys: map[string]*keyState{}}
-	// Before any gap was seen, all lengths are equally likely on the
-	// logarithmic scale.
+	// Before any gap is observed, all lengths are equally likely on the logarithmic
+	// scale.
 	for i := range p.pool.counts {
 		p.pool.counts[i] = 1
 		p.pool.total++
@@ -130,11 +132,11 @@
 	}
 	p.prices = prices
 	for _, k := range p.keys {
-		k.known = false
+		k.keepValid = false
 	}
 }
 
-// Arrival notes a request for a key.
+// Arrival records a request for a key.
 func (p *Policy) Arrival(now core.Time, key string) {
 	k := p.keys[key]
 	if k == nil {
@@ -144,37 +146,39 @@
 	gap := now.Sub(k.last)
 	k.history.add(gap)
 	p.pool.add(gap)
-	k.last, k.known = now, false
+	k.last, k.keepValid = now, false
 }
 
-// KeepUntil returns until when an idle key should stay loaded if no request
-// comes. A key never asked for, such as one that a restarted process found
-// loaded, counts as called at the first question: its predecessor had reason
-// to keep it, and to drop all at once would make every next call a cold start.
+// KeepUntil returns until when an idle key should stay loaded if no request arrives. A
+// key without a recorded request, such as one that a restarted process found loaded,
+// counts as requested at the first KeepUntil: the previous process kept it loaded for a
+// reason, and unloading everything at once would make every next call a cold start.
 func (p *Policy) KeepUntil(now core.Time, key string) core.Time {
 	k := p.keys[key]
 	if k == nil {
 		k = &keyState{last: now}
 		p.keys[key] = k
 	}
-	if !k.known {
-		k.keep, k.known = p.best(&k.history, p.cost(key)), true
+	if !k.keepValid {
+		k.keep, k.keepValid = p.best(&k.history, p.cost(key)), true
 	}
 	return k.last.Add(k.keep)
 }
 
-// weight of bucket i in the blend of a key's own history with the pool.
+// weight returns the weight of bucket i in the combination of a key's own history with
+// the pool.
 func (p *Policy) weight(h *history, i int) float64 {
 	return float64(h.counts[i]) + PriorWeight*float64(p.pool.counts[i]/p.pool.total)
 }
 
-// best returns the keep time of least expected cost.
+// best returns the keep time with the least expected cost.
 func (p *Policy) best(h *history, c Cost) time.Duration {
 	idlePerSecond := p.prices.IdleHour * c.Share / time.Hour.Seconds()
 	cold := p.prices.ColdSecond * c.Weight * c.Cold.Seconds()
 	total := float64(h.total) + PriorWeight
 	bestKeep, bestCost := time.Duration(0), cold
-	// kept is E[min(X,T)] of the gaps that ended by T; within, their share.
+	// kept is the part of E[min(X,T)] from gaps that end by T; within is their share of
+	// all gaps.
 	kept, within, lower := 0.0, 0.0, time.Duration(0)
 	for i, edge := range edges {
 		share := p.weight(h, i) / total
@@ -190,9 +194,9 @@
 	return bestKeep
 }
 
-// Retain drops the histories of the keys that are not wanted any more.
+// Retain drops the histories of the keys for which wanted returns false.
 func (p *Policy) Retain(wanted func(key string) bool) {
-	for key := range p.keys { // each is kept or dropped by itself: order has no effect
+	for key := range p.keys { // independent deletions: order has no effect
 		if !wanted(key) {
 			delete(p.keys, key)
 		}
--- a/internal/core/idle/idle_test.go
+++ b/internal/core/idle/idle_test.go
@@ -15,7 +15,7 @@
 	return func(string) Cost { return Cost{Share: share, Cold: cold, Weight: 1} }
 }
 
-func feed(p *Policy, key string, start core.Time, gap time.Duration, times int) core.Time {
+func recordArrivals(p *Policy, key string, start core.Time, gap time.Duration, times int) core.Time {
 	now := start
 	for range times {
 		p.Arrival(now, key)
@@ -24,24 +24,24 @@
 	return now.Add(-gap)
 }
 
-// A model called every 30 seconds and one called twice a day share a host. The
-// first must be kept over its gaps; the second must go soon after each call,
-// since keeping it for half a day costs far more than one cold start.
-func TestKeepsFrequentAndDropsRare(t *testing.T) {
+// A model called every 30 seconds and one called twice a day share a host. The first must
+// stay loaded over its gaps; the second must be unloaded soon after each call, since
+// keeping it for half a day costs far more than one cold start.
+func TestFrequentModelIsKeptAndRareModelUnloaded(t *testing.T) {
 	p := New(Prices{ColdSecond: 1, IdleHour: 20}, fixedCost(1, 20*time.Second))
-	last := feed(p, "often", 0, 30*time.Second, 200)
+	last := recordArrivals(p, "often", 0, 30*time.Second, 200)
 	if keep := p.KeepUntil(last, "often").Sub(last); keep < 30*time.Second {
 		t.Errorf("a model called every 30s is kept only %v", keep)
 	}
-	last = feed(p, "rare", 0, 12*time.Hour, 40)
+	last = recordArrivals(p, "rare", 0, 12*time.Hour, 40)
 	if keep := p.KeepUntil(last, "rare").Sub(last); keep > time.Hour {
 		t.Errorf("a model called twice a day is kept %v", keep)
 	}
 }
 
-// The two users set opposite prices; the one that pays for waiting inspectors
-// must never unload earlier than the one that pays for idle accelerators.
-func TestDearerColdStartsKeepLonger(t *testing.T) {
+// Two deployments have opposite prices; the one with the higher price of cold starts must
+// never unload earlier than the one with the higher price of idle accelerators.
+func TestHigherColdStartPriceKeepsLonger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gaps := rapid.SliceOfN(rapid.Int64Range(1, 200_000), 1, 50).Draw(t, "gaps")
 		cold := New(Prices{ColdSecond: 5, IdleHour: 10}, fixedCost(1, 10*time.Second))
@@ -53,7 +53,7 @@
 			idle.Arrival(now, "m")
 		}
 		if cold.KeepUntil(now, "m") < idle.KeepUntil(now, "m") {
-			t.Errorf("dear cold starts keep until %v, dear idle hours until %v", cold.KeepUntil(now, "m"), idle.KeepUntil(now, "m"))
+			t.Errorf("with expensive cold starts kept until %v, with expensive idle hours until %v", cold.KeepUntil(now, "m"), idle.KeepUntil(now, "m"))
 		}
 	})
 }
