--- a/internal/core/peers/peers.go
+++ b/internal/core/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers decides which connections an entry keeps to agents and when
-// it dials again. It is shared by the entry and steward parts, so that a host
-// which both need is dialled once.
+// Package peers decides which connections an entry keeps to agents and when it redials.
+// It is shared by the entry and steward parts, so that a host which both use is dialled
+// once.
 package peers
 
 import (
@@ -10,34 +10,33 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Reconnect windows. A dial after a lost connection waits a uniformly random
-// time in the window (full jitter), and the window doubles with each failure.
-// The first window is wide so that all entries that lose one agent, or all
-// agents of a zone, do not dial at the same moment; it is wider still after a
-// planned close (WebSocket code 1012), when the process that comes next needs
-// a while to start and nothing of the host can be used meanwhile.
+// Reconnect windows. A dial after a lost connection waits a uniformly random time in the
+// window (full jitter), and the window doubles with each failure. The first window is
+// wide so that all entries that lose one agent, or all agents of a zone, do not dial at
+// the same moment; it is wider still after a planned close (WebSocket code 1012), because
+// the next process takes a while to start and the host is unusable meanwhile.
 const (
 	FirstWindow   = 500 * time.Millisecond
 	PlannedWindow = 2 * time.Second
 	MaxWindow     = 15 * time.Second
 )
 
-// Manager tracks the wanted connections of one process.
+// Manager tracks the connections that the parts of one process have acquired.
 type Manager struct {
 	rand  *rand.Rand
 	peers map[core.HostID]*peer
-	// next is the earliest redialAt, kept so that Next costs nothing on the
-	// many events that change no connection.
+	// next is the earliest redialAt, cached so that Next costs nothing on the many events
+	// that change no connection.
 	next core.Time
-	// collecting is set while the steward part asks for reports.
+	// collecting is set while the steward part requests reports from agents.
 	collecting bool
 }
 
-// User is a part that wants connections.
+// User is a bit set of the parts that use a connection.
 type User uint8
 
-// The users. A connection stays as long as one of them wants it: a steward
-// that leaves office must not hang up on requests of the entry part.
+// The users. A connection stays open as long as one of them uses it: a steward that
+// leaves office must not close connections on which requests of the entry part run.
 const (
 	Entry User = 1 << iota
 	Steward
@@ -62,9 +61,9 @@
 	}
 }
 
-// Acquire notes a user's wish for a connection to a host at an address. It dials
-// at once if the host is new or its address changed, and otherwise leaves the
-// schedule alone.
+// Acquire registers a user of the connection to a host at an address. It dials at once if
+// the host is new or its address changed, and otherwise leaves the redial schedule
+// unchanged.
 func (m *Manager) Acquire(user User, host core.HostID, address string) []core.Effect {
 	p := m.peers[host]
 	if p == nil {
@@ -89,7 +88,8 @@
 	return core.Dial{Peer: host, Address: p.address}
 }
 
-// Release ends a user's wish for a connection to a host.
+// Release unregisters a user of the connection to a host and closes it after the last
+// one.
 func (m *Manager) Release(user User, host core.HostID) []core.Effect {
 	p := m.peers[host]
 	if p == nil {
@@ -103,7 +103,7 @@
 	return []core.Effect{core.Hangup{Peer: host}}
 }
 
-// Redial replaces a connection that stands by a new one, whoever uses it.
+// Redial replaces an open connection by a new one, whoever uses it.
 func (m *Manager) Redial(host core.HostID) []core.Effect {
 	p := m.peers[host]
 	if p == nil || !p.up {
@@ -113,20 +113,20 @@
 	return []core.Effect{core.Hangup{Peer: host}, m.dial(host, p)}
 }
 
-// SetCollecting notes that the steward part asks agents for reports.
+// SetCollecting records whether the steward part requests reports from agents.
 func (m *Manager) SetCollecting(collecting bool) { m.collecting = collecting }
 
-// Collecting tells whether a Hello of this process asks for reports. Both
-// parts greet; without it the entry's later Hello would end the reports.
+// Collecting reports whether a Hello of this process requests reports. Both parts send
+// Hello; a later one by the entry part without the request would end the reports.
 func (m *Manager) Collecting() bool { return m.collecting }
 
-// AcquiredBy tells whether the user asked for a connection to the host.
+// AcquiredBy reports whether the user has acquired a connection to the host.
 func (m *Manager) AcquiredBy(user User, host core.HostID) bool {
 	p := m.peers[host]
 	return p != nil && p.users&user != 0
 }
 
-// Up tells whether a connection to the host stands.
+// Up reports whether a connection to the host is open.
 func (m *Manager) Up(host core.HostID) bool {
 	p := m.peers[host]
 	return p != nil && p.up
@@ -141,7 +141,8 @@
 	return 0
 }
 
-// Step implements core.Part. It must see an event before the parts that ask.
+// Step implements core.Part. It must run on an event before the Steps of the parts that
+// use the manager.
 func (m *Manager) Step(now core.Time, event core.Event) []core.Effect {
 	switch ev := event.(type) {
 	case core.PeerUp:
@@ -189,10 +190,10 @@
 	return effects
 }
 
-// Next implements core.Part. It may be earlier than needed, never later.
+// Next implements core.Part. The result may be earlier than needed, never later.
 func (m *Manager) Next() core.Time { return m.next }
 
-// State is the dump of one peer.
+// State is the state dump of one peer.
 type State struct {
 	Address     string           `json:"address"`
 	Up          bool             `json:"up"`
