--- a/internal/core/observe/observe.go
+++ b/internal/core/observe/observe.go
@@ -1,24 +1,24 @@
-// Package observe is the sub-reducer of an entry that keeps each agent's last
-// word for operators: resource status and the status page are read from it. It
-// decides nothing and has no effects.
+// Package observe is the sub-reducer of an entry that keeps each agent's last report for
+// operators: resource status and the status page are computed from it. It makes no
+// decisions and has no effects.
 package observe
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// Agent is what one connected agent said last.
+// Agent is the last report of one connected agent.
 type Agent struct {
-	// Kind and Service are absent until the agent has said Welcome.
+	// Kind and Service are empty until the agent has sent Welcome.
 	Kind    core.BackendKind `json:"kind,omitempty"`
 	Service string           `json:"service,omitempty"`
 	Leaving bool             `json:"leaving,omitempty"`
 	FreeMiB int64            `json:"freeMiB"`
-	// Slots are those that the agent owns, by its own word.
+	// Slots are those that the agent owns by its own report.
 	Slots []core.SlotLoad `json:"slots,omitempty"`
 
 	sequence uint64
 }
 
-// State is the part's state dump: the agents that are connected.
+// State is the part's state dump: the connected agents.
 type State map[core.HostID]Agent
 
 // Part implements core.Part.
@@ -63,8 +63,8 @@
 // Next implements core.Part.
 func (p *Part) Next() core.Time { return core.Never }
 
-// Dump implements core.Part. Slots are replaced whole and never changed in
-// place, so that the copy may share them.
+// Dump implements core.Part. Slots are replaced whole and never modified in place, so the
+// copy may share them.
 func (p *Part) Dump() any {
 	dump := make(State, len(p.agents))
 	for host, agent := range p.agents {
