--- a/internal/core/machine/machine.go
+++ b/internal/core/machine/machine.go
@@ -1,28 +1,28 @@
-// Package machine is the one reducer of a process: it dispatches each event to
-// the sub-reducers of the process's role and returns their effects as data.
+// Package machine composes the sub-reducers of a process into one: it passes each event
+// to all parts of the process's role and returns their effects as data.
 package machine
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// Named is a part with the name under which it appears in the state dump.
+// Named is a part with its name in the state dump.
 type Named struct {
 	Name string
 	Part core.Part
 }
 
-// Machine composes parts. It is not safe for concurrent use: one loop owns it.
+// Machine composes parts. It is not safe for concurrent use; one event loop owns it.
 type Machine struct {
 	parts []Named
 	wake  core.Time
 }
 
-// New composes parts, which see each event in the order given.
+// New composes parts, which process each event in the order given.
 func New(parts ...Named) *Machine {
 	return &Machine{parts: parts, wake: core.Never}
 }
 
-// Step feeds one event to all parts and returns what they want done, in order.
-// The last effect is a Wake if the time of the next needed Tick changed.
+// Step passes one event to all parts and returns their effects, in order. The last effect
+// is a Wake if the time of the next needed Tick changed.
 func (m *Machine) Step(now core.Time, event core.Event) []core.Effect {
 	if _, ok := event.(core.Tick); ok {
 		m.wake = core.Never
