--- a/internal/core/agent/dump.go
+++ b/internal/core/agent/dump.go
@@ -4,31 +4,31 @@
 
 // State is the dump of an agent. Times are on the process's own clock.
 type State struct {
-	Host        core.HostID      `json:"host"`
-	Incarnation core.Incarnation `json:"incarnation"`
-	Ready       bool             `json:"ready"`
-	Leaving     bool             `json:"leaving,omitempty"`
-	Settled     bool             `json:"settled"`
-	Inventoried bool             `json:"inventoried"`
-	Now         core.Time        `json:"now"`
-	TenureUntil core.Time        `json:"tenureUntil"`
-	GrantOf     uint64           `json:"grantOfReport"`
-	TotalMiB    int64            `json:"totalMiB"`
-	ReservedMiB int64            `json:"reservedMiB"`
-	Items       []ItemState      `json:"items,omitempty"`
-	Slots       []SlotDump       `json:"slots,omitempty"`
-	Releases    []core.Slot      `json:"releases,omitempty"`
-	Queued      int              `json:"queued"`
-	QueuedBytes int              `json:"queuedBytes"`
-	Running     int              `json:"running"`
-	Attempts    int              `json:"attempts"`
-	Past        int              `json:"past"`
-	Results     int              `json:"results"`
-	ResultBytes int              `json:"resultBytes"`
+	Host          core.HostID      `json:"host"`
+	Incarnation   core.Incarnation `json:"incarnation"`
+	Ready         bool             `json:"ready"`
+	Leaving       bool             `json:"leaving,omitempty"`
+	Settled       bool             `json:"settled"`
+	Inventoried   bool             `json:"inventoried"`
+	Now           core.Time        `json:"now"`
+	TenureUntil   core.Time        `json:"tenureUntil"`
+	GrantSequence uint64           `json:"grantOfReport"`
+	TotalMiB      int64            `json:"totalMiB"`
+	ReservedMiB   int64            `json:"reservedMiB"`
+	Items         []ItemDump       `json:"items,omitempty"`
+	Slots         []SlotDump       `json:"slots,omitempty"`
+	Releases      []core.Slot      `json:"releases,omitempty"`
+	Queued        int              `json:"queued"`
+	QueuedBytes   int              `json:"queuedBytes"`
+	Running       int              `json:"running"`
+	Attempts      int              `json:"attempts"`
+	Past          int              `json:"past"`
+	Results       int              `json:"results"`
+	ResultBytes   int              `json:"resultBytes"`
 }
 
-// ItemState is the dump of a checkpoint in the engine.
-type ItemState struct {
+// ItemDump is the dump of a checkpoint in the engine.
+type ItemDump struct {
 	Key       string `json:"key"`
 	State     string `json:"state"`
 	MemoryMiB int64  `json:"memoryMiB"`
@@ -66,7 +66,7 @@
 	state := State{
 		Host: p.cfg.Host, Incarnation: p.cfg.Incarnation, Ready: p.ready,
 		Leaving: p.leaving, Settled: p.settled, Inventoried: p.inventoried,
-		Now: p.now, TenureUntil: p.tenure.until, GrantOf: p.tenure.newest,
+		Now: p.now, TenureUntil: p.tenure.until, GrantSequence: p.tenure.newest,
 		TotalMiB: p.totalMiB, ReservedMiB: p.reservedMiB,
 		Queued: p.backlog.count, QueuedBytes: p.backlog.bytes, Running: len(p.runs),
 		Attempts: len(p.attempts), Past: len(p.past.records),
@@ -74,7 +74,7 @@
 	}
 	for _, key := range core.SortedKeys(p.items) {
 		it := p.items[key]
-		state.Items = append(state.Items, ItemState{
+		state.Items = append(state.Items, ItemDump{
 			Key: key, State: it.state.String(), MemoryMiB: it.memoryMiB, Fence: it.fence,
 			Foreign: it.target == nil, Closing: it.closing, Order: it.order,
 		})
