--- a/internal/core/agent/admit.go
+++ b/internal/core/agent/admit.go
@@ -8,7 +8,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// refusal is why a request is not admitted; the zero value admits it.
+// refusal is the reason why a request is not admitted; the zero value means
+// that it is admitted.
 type refusal struct {
 	code       code.Code
 	retryAfter time.Duration
@@ -24,29 +25,29 @@
 // startRequest handles a Start.
 func (p *Part) startRequest(from core.HostID, m core.Start) {
 	if p.attempts[m.Attempt] != nil {
-		return // a duplicate of an attempt that is under way
+		return // duplicate of an attempt that is waiting or running
 	}
 	if old := p.past.find(m.Attempt); old != nil {
 		p.answerPast(from, old)
 		return
 	}
-	// A keyed request that already runs or ran is not new work: it is
-	// answered also while leaving or after the slot has moved.
+	// A keyed request that is waiting, running or finished is not new work: it
+	// is answered even while the agent is leaving or after the slot has moved.
 	if p.joinKeyed(from, m) {
 		return
 	}
-	t, startsIn, no := p.admit(m)
-	if no.code != code.OK {
+	t, startsIn, refused := p.admit(m)
+	if refused.code != code.OK {
 		if t != nil {
-			p.mark(t.slot) // sweeps a target made for nothing
+			p.markDirty(t.slot) // drops a target that was created for this request only
 		}
-		p.reject(from, m.Attempt, no.code, no.retryAfter, p.now.Add(m.Remaining))
+		p.reject(from, m.Attempt, refused.code, refused.retryAfter, p.now.Add(m.Remaining))
 		return
 	}
 	j := p.newJob(m, t)
 	p.registerKey(j)
-	v := p.addViewer(j, from, m.Attempt, m.Window)
-	p.noteArrival(t)
+	v := p.addSubscriber(j, from, m.Attempt, m.Window)
+	p.recordArrival(t)
 	p.enqueue(j)
 	p.shed()
 	if j.state == jobWaiting {
@@ -54,8 +55,8 @@
 	}
 }
 
-// answerPast answers an attempt that is over: a refusal stands, and one that
-// ran is never run again.
+// answerPast answers an attempt that has ended: a refusal is repeated, and an
+// attempt that ran is not run again.
 func (p *Part) answerPast(to core.HostID, old *pastAttempt) {
 	if old.ran {
 		p.sendEnd(to, old.attempt, 0, code.OutcomeUnknown)
@@ -65,7 +66,7 @@
 }
 
 // admit finds the target of a request, predicts its start and checks that it
-// is in time.
+// can start before its deadline.
 func (p *Part) admit(m core.Start) (*target, time.Duration, refusal) {
 	switch {
 	case p.snapshot == nil:
@@ -75,12 +76,12 @@
 	case m.Remaining <= 0:
 		return nil, 0, refusal{code.DeadlinePassed, 0}
 	}
-	t, no := p.findTarget(m)
-	if no.code != code.OK {
-		return nil, 0, no
+	t, refused := p.findTarget(m)
+	if refused.code != code.OK {
+		return nil, 0, refused
 	}
-	startsIn, no := p.checkStart(t, m)
-	return t, startsIn, no
+	startsIn, refused := p.checkStart(t, m)
+	return t, startsIn, refused
 }
 
 func (p *Part) findTarget(m core.Start) (*target, refusal) {
@@ -97,7 +98,7 @@
 	if s == nil || m.Slot.Model != m.Target.Model || m.Generation > s.generation {
 		return nil, refusal{code.NotOwner, minRetryAfter}
 	}
-	if reason := p.slotMustGo(s); reason != code.OK {
+	if reason := p.drainReason(s); reason != code.OK {
 		return nil, refusal{reason, minRetryAfter}
 	}
 	if m.Target.Adapter == "" {
@@ -117,23 +118,23 @@
 	return p.adapterTarget(s, m.Target.Adapter), refusal{}
 }
 
-// checkStart predicts a request's start, and refuses it if that is past its
-// deadline.
+// checkStart predicts the start of a request and refuses the request if it
+// would start or finish after its deadline.
 func (p *Part) checkStart(t *target, m core.Start) (time.Duration, refusal) {
-	if p.engineLost() && !t.loaded() {
+	if p.engineDown() && !t.loaded() {
 		return 0, refusal{code.LoadFailed, max(backoff(p.inventory.failures), minRetryAfter)}
 	}
 	starts := p.startsIn(t, classOfPriority(m.Priority), m.ClientAccount)
 	ready := p.readyIn(t)
-	inTime := p.finishes(t.slot.runTime[classOfPriority(m.Priority)], starts-ready, m.Remaining-ready)
+	inTime := p.canFinish(t.slot.runTime[classOfPriority(m.Priority)], starts-ready, m.Remaining-ready)
 	if p.lacksMemory(t) {
-		_, wait, ok := p.roomFor(t)
+		_, wait, ok := p.planEviction(t)
 		if !ok {
-			p.noteCrowded(t.slot)
+			p.markCrowded(t.slot)
 			return 0, refusal{code.NoMemory, p.memoryRetry()}
 		}
 		if wait > 0 && wait+starts >= m.Remaining {
-			p.noteCrowded(t.slot)
+			p.markCrowded(t.slot)
 			return 0, refusal{code.NoMemory, max(wait, minRetryAfter)}
 		}
 		starts += wait
@@ -144,7 +145,7 @@
 	case t.retryAt > p.now:
 		return 0, refusal{code.LoadFailed, max(starts, minRetryAfter)}
 	}
-	p.loadAnyway(t)
+	p.loadAfterRefusal(t)
 	return 0, refusal{code.DeadlineUnmet, max(starts, minRetryAfter)}
 }
 
@@ -155,22 +156,23 @@
 	return p.memoryNeed(t) > p.free()
 }
 
-// loadAnyway loads the model of a request that was refused because the load
-// takes too long for it. Else a model whose callers are all less patient than
-// its load would be refused for ever; so the caller who comes back after
-// Retry-After finds it loaded, and the load's true duration is learned.
-func (p *Part) loadAnyway(t *target) {
+// loadAfterRefusal orders the load of a target whose request was refused
+// because the load takes longer than its deadline allows. Without this, a model
+// whose requests all have deadlines shorter than its load would never be
+// loaded. A caller that retries after Retry-After finds it loaded, and the
+// predictor learns the actual duration of the load.
+func (p *Part) loadAfterRefusal(t *target) {
 	if t.slot.service || t.loaded() {
 		return
 	}
-	p.noteArrival(t)
+	p.recordArrival(t)
 	t.wanted = true
-	p.mark(t.slot)
+	p.markDirty(t.slot)
 }
 
-// noteArrival tells the idle policy of a request; one for an adapter keeps the
-// base too.
-func (p *Part) noteArrival(t *target) {
+// recordArrival reports a request to the idle policy. A request for an adapter
+// also counts for its base model.
+func (p *Part) recordArrival(t *target) {
 	if t.slot.service {
 		return
 	}
@@ -180,8 +182,8 @@
 	}
 }
 
-// shed refuses waiting requests from the least valuable end until the backlog
-// is within its bounds.
+// shed refuses waiting requests in shedding order until the backlog is within
+// its limits.
 func (p *Part) shed() {
 	for p.backlog.full() {
 		j := p.backlog.victim()
--- a/internal/core/agent/bench_test.go
+++ b/internal/core/agent/bench_test.go
@@ -7,18 +7,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// BenchmarkRequest measures a whole request on a loaded model: Start, head,
-// four data frames with their credits, and the end.
+// BenchmarkRequest measures a complete request on a loaded model: Start, head,
+// four data frames with their credits, and the end frame.
 func BenchmarkRequest(b *testing.B) {
 	s := &script{}
-	s.create(parseWords(nil, "new ttl=1h"))
-	s.declare(parseWords(nil, "model name=small memory=1000 max=2"))
+	s.create(parseLine(nil, "new ttl=1h"))
+	s.declare(parseLine(nil, "model name=small memory=1000 max=2"))
 	s.boot()
-	s.receive("e1", s.grantOf(parseWords(nil, "grant small/0@1 tenure=1000h")))
-	s.receive("e1", startOf(parseWords(nil, "req"), attemptOf(0, 1)))
+	s.receive("e1", s.grantOf(parseLine(nil, "grant small/0@1 tenure=1000h")))
+	s.receive("e1", startOf(parseLine(nil, "req"), attemptOf(0, 1)))
 	s.step(core.OrderDone{Order: 1})
 	s.step(core.RunProgress{Attempt: attemptOf(0, 1), Kind: core.FrameEnd})
-	m := startOf(parseWords(nil, "req window=2"), core.AttemptID{})
+	m := startOf(parseLine(nil, "req window=2"), core.AttemptID{})
 	payload := make([]byte, 64)
 	events := 0
 	step := func(event core.Event) {
--- a/internal/core/agent/checkpoint.go
+++ b/internal/core/agent/checkpoint.go
@@ -7,8 +7,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// checkpoint is what the configuration in force wants loaded for a target. The
-// zero value means that the target is not declared (any more).
+// checkpoint is what the configuration in force requires to be loaded for a
+// target. The zero value means that the target is not declared.
 type checkpoint struct {
 	key           string
 	base          string
@@ -18,7 +18,8 @@
 
 func keyOf(name, version string) string { return name + "@" + version }
 
-// checkpointOf returns the checkpoint in force for a target.
+// checkpointOf returns the checkpoint that the configuration in force declares
+// for a target.
 func (p *Part) checkpointOf(t *target) checkpoint {
 	if p.snapshot == nil || t.slot.service {
 		return checkpoint{}
@@ -51,8 +52,8 @@
 	return fallback
 }
 
-// placed reports whether an adapter may be loaded on a slot by the slot table.
-// count is the number of places that are asked about.
+// placed reports whether an adapter belongs on a slot when the adapter has
+// count replicas.
 func (p *Part) placed(adapter *api.Adapter, s *slot, count int) bool {
 	if s.layout.max == 0 || adapter.Spec.Base != s.id.Model || p.snapshot.Models[s.id.Model] == nil {
 		return false
@@ -61,7 +62,8 @@
 	return slices.Contains(indexes, s.id.Index)
 }
 
-// findPinned lists the adapters whose Replicas.Min keeps them on the slot.
+// findPinned sets the adapters that are kept loaded on the slot because of
+// their Replicas.Min.
 func (p *Part) findPinned(s *slot) {
 	s.pinned = nil
 	for _, name := range p.minAdapters[s.id.Model] {
@@ -73,13 +75,12 @@
 	}
 }
 
-// findMisplaced marks the adapters that the configuration or the slot table
-// moved off the slot.
-//
-// Failure: an operator lowers an adapter's limit; the owner of the place that
-// went keeps the copy and goes on serving, and more copies are loaded than
-// decided until the idle policy lets go. Guard: a marked adapter is refused,
-// drained and unloaded like one of an old version.
+// findMisplaced marks the adapters that a change of the configuration or of the
+// slot table moved off the slot. A marked adapter is refused, drained and
+// unloaded like an old version. Without this, after an operator lowers the
+// replica limit of an adapter, the owner of the removed replica would go on
+// serving it, and more replicas than configured would stay loaded until the
+// idle policy unloads them.
 func (p *Part) findMisplaced(s *slot) {
 	for _, t := range s.targets[1:] {
 		adapter := p.snapshot.Adapters[t.name]
@@ -100,29 +101,30 @@
 	return needed || model != nil && int(t.slot.id.Index) < model.Spec.Replicas.Min
 }
 
-// configure takes a new configuration. Its revision only grows.
+// configure applies a new configuration. A revision that is not newer than the
+// current one is ignored.
 func (p *Part) configure(snapshot *api.Snapshot, changed []api.Key) {
 	if p.snapshot != nil && snapshot.Revision <= p.snapshot.Revision {
 		return
 	}
 	before := p.snapshot
 	p.snapshot = snapshot
-	p.price()
+	p.updatePrices()
 	if before == nil || changed == nil {
-		p.minAdapters = keptAdapters(snapshot)
+		p.minAdapters = buildMinAdapters(snapshot)
 	} else {
-		p.updateKept(before, changed)
+		p.updateMinAdapters(before, changed)
 	}
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		p.findPinned(s)
 		p.findMisplaced(s)
 	}
 	p.foreignDirty = true
-	p.markAll()
+	p.markAllDirty()
 	p.updateReady()
 }
 
-// concurrency returns how many requests a replica runs at a time.
+// concurrency returns how many requests a replica runs at the same time.
 func (p *Part) concurrency(s *slot) int {
 	if p.snapshot == nil {
 		return 1
--- a/internal/core/agent/config.go
+++ b/internal/core/agent/config.go
@@ -7,94 +7,103 @@
 	"nutmeglane.example/nutmeglane/internal/defaults"
 )
 
-// Config is what an agent knows from its settings.
+// Config holds the settings of an agent.
 type Config struct {
 	Host        core.HostID
 	Incarnation core.Incarnation
 	Zone        core.Zone
-	// Address is the "IP:port" that other processes dial.
+	// Address is the "IP:port" at which other processes connect.
 	Address string
 	Kind    core.BackendKind
 	// Service names the plain service when Kind is BackendService.
 	Service string
-	// Backend is the engine's base URL as other hosts reach it.
+	// Backend is the base URL of the engine as reachable from other hosts.
 	Backend string
-	// Seed spreads the unloads of many agents whose tenures end together.
+	// Seed determines the jitter that spreads the unloads of agents whose
+	// tenures end together.
 	Seed    uint64
 	Timings core.Timings
 	Limits  Limits
-	// Idle decides how long an idle checkpoint stays loaded. Default an
-	// idle.Policy at the prices of the configuration in force.
+	// Idle decides how long an idle checkpoint stays loaded. Default: an
+	// idle.Policy with the prices of the configuration in force.
 	Idle IdlePolicy
-	// Loads predicts load durations before the first load was measured.
-	// Default DefaultLoadPriors.
+	// Loads predicts load durations until a load has been measured. Default:
+	// DefaultLoadPriors.
 	Loads LoadPriors
 }
 
-// Limits bounds what an agent holds. A zero field takes its default.
+// Limits sets the upper bounds of what an agent holds. A zero field takes its
+// default.
 type Limits struct {
-	// QueueCount and QueueBytes bound the waiting requests and their bodies.
-	// Default 1024 and 16 MiB.
+	// QueueCount and QueueBytes limit the number of waiting requests and the
+	// total size of their bodies. Default 1024 and 16 MiB.
 	QueueCount int
 	QueueBytes int
-	// BufferFrames and BufferBytes bound the unacknowledged frames of one
-	// answer; beyond them reading from the backend server pauses. Default 256
+	// BufferFrames and BufferBytes limit the unacknowledged frames of one
+	// answer; above them reading from the backend server pauses. Default 256
 	// and 1 MiB.
 	BufferFrames int
 	BufferBytes  int
-	// ResultBytes bounds the kept answers of keyed requests together, and
-	// one answer to a sixteenth of it. Default 8 MiB.
+	// ResultBytes limits the total size of the retained answers of keyed
+	// requests; one answer may take a sixteenth of it. Default 8 MiB.
 	ResultBytes int
-	// ResultCount bounds the kept keys. Default 16384.
+	// ResultCount limits the number of retained idempotency keys. Default
+	// 16384.
 	ResultCount int
-	// ResultLife is how long a keyed request's result is kept. Default 10 min.
+	// ResultLife is how long the result of a keyed request is retained. Default
+	// 10 min.
 	ResultLife time.Duration
-	// PastCount bounds the remembered attempts that are over. Default 65536.
+	// PastCount limits the number of remembered attempts that have ended.
+	// Default 65536.
 	PastCount int
-	// ResumeWindow is how long an attempt goes on without its entry.
-	// Default 10 s.
+	// ResumeWindow is how long an attempt continues while its entry is not
+	// connected. Default 10 s.
 	ResumeWindow time.Duration
-	// ReleaseDrain bounds how long running requests hold up the release of a
+	// ReleaseDrain limits how long running requests may delay the release of a
 	// slot. Default 2 min.
 	ReleaseDrain time.Duration
-	// LeaveLimit is the time for a graceful shutdown when the platform's list
-	// shows the host as leaving without a Stop event. Default 2 min.
+	// LeaveLimit is the time for a graceful shutdown that begins without a Stop
+	// event: the platform lists the host as leaving, or the steward has fenced
+	// this incarnation. Default 2 min.
 	LeaveLimit time.Duration
-	// InventoryInterval is the time between two routine inventories, by which
-	// a restarted engine is noticed without a request. Default 1 min.
+	// InventoryInterval is the time between two routine inventories, which
+	// detect a restarted engine even if no request arrives. Default 1 min.
 	InventoryInterval time.Duration
 }
 
 // Fixed durations of the agent.
 const (
-	// statusInterval is the least time between two Status pushes.
+	// statusInterval is the minimum time between two Status messages.
 	statusInterval = 200 * time.Millisecond
-	// Backoff of failed loads and of inventories.
+	// firstBackoff and maxBackoff limit the wait after failed loads and
+	// inventories.
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 15 * time.Second
-	// minRetryAfter is the least Retry-After of a refusal.
+	// minRetryAfter is the minimum Retry-After of a refusal that may be
+	// retried.
 	minRetryAfter = time.Second
-	// pastSlack is how long past a request's deadline its attempt is still
-	// remembered; it covers a message in flight on a connection that pings
-	// have not yet found dead (three times the default PingInterval) fourfold.
-	pastSlack = time.Minute
-	// jitterShare divides UnloadLead to get the largest jitter.
-	jitterShare = 10
-	// cutShare divides the leaving limit to get the time kept for unloads
-	// after the last requests were cut, at most maxCutReserve.
-	cutShare      = 10
+	// pastMargin is how long after its deadline an attempt is remembered. It is
+	// four times the period for which a message can be in flight on a broken
+	// connection that pings have not detected yet (three times the default
+	// PingInterval).
+	pastMargin = time.Minute
+	// The maximum jitter is UnloadLead/jitterDivisor.
+	jitterDivisor = 10
+	// The time reserved for unloads after the last requests are cut is the
+	// leave limit divided by cutDivisor, at most maxCutReserve.
+	cutDivisor    = 10
 	maxCutReserve = 5 * time.Second
-	// maxRequeues bounds how often a request whose model vanished is queued
-	// again.
+	// maxRequeues limits how often a request is queued again because the engine
+	// did not have its model loaded.
 	maxRequeues = 3
-	// lostEngine is the number of failed inventories in a row after which
-	// requests no longer wait for a load.
-	lostEngine = 3
-	// sentReports bounds the remembered sending times of reports.
-	sentReports = 1024
-	// resultShare divides ResultBytes to get the limit of one kept answer.
-	resultShare = 16
-	// Defaults of the declarations, should a snapshot come without them.
+	// engineDownFailures is the number of consecutive failed inventories after
+	// which requests no longer wait for a load.
+	engineDownFailures = 3
+	// maxSentReports limits the number of remembered report sending times.
+	maxSentReports = 1024
+	// The size limit of one retained answer is ResultBytes/resultDivisor.
+	resultDivisor = 16
+	// Defaults of MaxConcurrent, for a snapshot that does not set it.
 	defaultModelConcurrency   = 8
 	defaultServiceConcurrency = 16
 )
@@ -126,7 +135,7 @@
 	return l
 }
 
-// backoff returns the wait after the given number of failures in a row.
+// backoff returns the wait after the given number of consecutive failures.
 func backoff(failures int) time.Duration {
 	if failures > 8 {
 		return maxBackoff
--- a/internal/core/agent/counters.go
+++ b/internal/core/agent/counters.go
@@ -8,7 +8,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// The metrics of an agent.
+// Metrics of an agent.
 const (
 	requestsTotal    core.Counter = "agent_requests_total"
 	loadsTotal       core.Counter = "agent_loads_total"
@@ -22,7 +22,7 @@
 	yieldsTotal      core.Counter = "agent_yields_total"
 )
 
-// Counters describes the metrics that an agent emits.
+// Counters returns the definitions of the metrics that an agent emits.
 func Counters() []core.CounterDef {
 	return []core.CounterDef{
 		{Name: requestsTotal, Help: "Attempts refused or ended, by result code.", Labels: []string{"code"}},
@@ -52,7 +52,8 @@
 	p.emit(core.Observe{Name: name, Labels: labels, Value: value})
 }
 
-// note logs a change of state; fields are alternating keys and values.
+// note emits a log line about a state change; fields are alternating keys and
+// values.
 func (p *Part) note(name string, fields ...string) {
 	p.emit(core.Note{Name: name, Fields: fields})
 }
--- a/internal/core/agent/deliver.go
+++ b/internal/core/agent/deliver.go
@@ -5,7 +5,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// progress handles a piece of the backend server's answer.
+// progress processes one event of the answer of the backend server.
 func (p *Part) progress(ev core.RunProgress) {
 	j := p.runs[ev.Attempt]
 	if j == nil {
@@ -20,14 +20,14 @@
 		p.runEnded(j, ev)
 		return
 	}
-	if !j.mayYield() {
-		j.start.Body = nil // it ran: it won't be queued again
+	if !j.preemptible() {
+		j.start.Body = nil // started and not preemptible: it won't be queued again
 	}
 	p.pumpAll(j)
 	p.trim(j)
 }
 
-// runEnded takes a job off the backend server.
+// runEnded processes the end of a run at the backend server.
 func (p *Part) runEnded(j *job, ev core.RunProgress) {
 	p.stopRunning(j)
 	started := j.answer.head || j.answer.total() > 0
@@ -35,11 +35,11 @@
 		p.notLoaded(j)
 		return
 	}
-	if j.yielding && ev.Code == code.Cancelled && !j.cancelled {
-		p.yielded(j)
+	if j.preempting && ev.Code == code.Cancelled && !j.cancelled {
+		p.requeuePreempted(j)
 		return
 	}
-	if ev.Code == code.OK && j.yields == 0 {
+	if ev.Code == code.OK && j.preemptions == 0 {
 		j.target.slot.runTime[j.class].add(p.now.Sub(j.startedAt))
 	}
 	j.state = jobEnded
@@ -50,9 +50,9 @@
 	p.keepResult(j)
 }
 
-// endCode returns the code of the final frame. A request that was handed to the
-// backend server may have run, so a code that promises the contrary is never
-// passed on.
+// endCode returns the code of the end frame. A request that was passed to the
+// backend server may have run, so a code that means "not run" is replaced by
+// OutcomeUnknown.
 func endCode(j *job, result code.Code) code.Code {
 	switch {
 	case result == code.OK:
@@ -66,21 +66,19 @@
 }
 
 // notLoaded queues a request again that the engine did not run because the
-// model is not loaded.
-//
-// Failure: the engine was restarted and holds nothing, while the agent takes
-// the model for loaded; every request for it fails. Guard: the item becomes
-// unknown, so no request runs on it before an inventory.
+// model is not loaded. This happens when the engine was restarted and the agent
+// still records the model as loaded; every request for it would fail. The item
+// becomes unknown, so that no request runs on it before an inventory.
 func (p *Part) notLoaded(j *job) {
 	t := j.target
 	if it := t.item; it != nil && it.state == itemLoaded && it.orderedAt <= j.startedAt {
 		it.state = itemUnknown
-		it.touched = p.inventory.asked // an inventory under way may be older
-		p.repark(t.slot)
-		p.askInventory(p.now)
+		it.lastInventory = p.inventory.sequence // a pending inventory may predate this failure
+		p.reparkUnloaded(t.slot)
+		p.scheduleInventory(p.now)
 	}
 	if base := t.slot.base.item; t.adapter && base != nil && base.state == itemLoaded {
-		p.askInventory(p.now)
+		p.scheduleInventory(p.now)
 	}
 	j.state = jobWaiting
 	j.requeues++
@@ -89,56 +87,57 @@
 		p.refuse(j, code.LoadFailed, minRetryAfter)
 		return
 	}
-	if reason := p.slotMustGo(t.slot); reason != code.OK {
+	if reason := p.drainReason(t.slot); reason != code.OK {
 		p.refuse(j, reason, minRetryAfter)
 	}
 }
 
-// pumpAll sends what each viewer may receive.
+// pumpAll sends each subscriber the frames that it may receive.
 func (p *Part) pumpAll(j *job) {
-	for _, v := range j.viewers {
-		p.pump(v)
+	for _, sub := range j.subscribers {
+		p.pump(sub)
 	}
 }
 
-// pump sends an attempt what it may receive: the head, then as many data
-// frames as are credited, and the end after the last of them.
-func (p *Part) pump(v *viewer) {
-	a := &v.job.answer
-	if !v.attached || v.endSent {
+// pump sends an attempt the frames that it may receive: the head, then data
+// frames up to the credit, and the end frame after the last data frame.
+func (p *Part) pump(sub *subscriber) {
+	a := &sub.job.answer
+	if !sub.attached || sub.endSent {
 		return
 	}
-	if a.head && !v.headSent {
-		v.headSent = true
-		p.sendTo(v, core.Frame{
-			Attempt: v.attempt, Kind: core.FrameHead, Status: a.status, Header: a.header,
+	if a.head && !sub.headSent {
+		sub.headSent = true
+		p.sendTo(sub, core.Frame{
+			Attempt: sub.attempt, Kind: core.FrameHead, Status: a.status, Header: a.header,
 		})
 	}
-	for v.next < a.total() && v.next < v.allowed {
-		next := a.piece(v.next)
-		v.next++
-		p.sendTo(v, core.Frame{
-			Attempt: v.attempt, Kind: core.FrameData, Seq: next.seq, Count: next.count,
+	for sub.next < a.total() && sub.next < sub.allowed {
+		next := a.frame(sub.next)
+		sub.next++
+		p.sendTo(sub, core.Frame{
+			Attempt: sub.attempt, Kind: core.FrameData, Seq: next.seq, Count: next.count,
 			Payload: next.payload, Sizes: next.sizes,
 		})
 	}
-	if v.job.state == jobEnded && v.next == a.total() {
-		v.endSent = true
-		p.openViewers--
-		p.sendEnd(v.entry, v.attempt, a.seq, a.code)
+	if sub.job.state == jobEnded && sub.next == a.total() {
+		sub.endSent = true
+		p.openSubscribers--
+		p.sendEnd(sub.entry, sub.attempt, a.seq, a.code)
 	}
 }
 
-// trim frees the pieces that every viewer has acknowledged, and pauses or
-// resumes reading by what the slowest viewer has not.
+// trim frees the frames that every subscriber has acknowledged, and pauses or
+// resumes reading from the backend server according to the frames that the
+// slowest subscriber has not acknowledged.
 func (p *Part) trim(j *job) {
 	a := &j.answer
 	slowest := a.total()
-	for _, v := range j.viewers {
-		slowest = min(slowest, v.acked)
+	for _, sub := range j.subscribers {
+		slowest = min(slowest, sub.acked)
 	}
-	if a.keepAll && a.bytes > p.cfg.Limits.ResultBytes/resultShare {
-		a.keepAll = false // too large to be kept for attempts that join
+	if a.keepAll && a.bytes > p.cfg.Limits.ResultBytes/resultDivisor {
+		a.keepAll = false // too large to be retained for attempts that join
 	}
 	if !a.keepAll && slowest > a.first {
 		a.free(slowest)
--- a/internal/core/agent/dump.go
+++ b/internal/core/agent/dump.go
@@ -2,7 +2,8 @@
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// State is the dump of an agent. Times are on the process's own clock.
+// State is the state of an agent as returned by Dump. Times are on the clock of
+// the process.
 type State struct {
 	Host          core.HostID      `json:"host"`
 	Incarnation   core.Incarnation `json:"incarnation"`
@@ -27,7 +28,7 @@
 	ResultBytes   int              `json:"resultBytes"`
 }
 
-// ItemDump is the dump of a checkpoint in the engine.
+// ItemDump describes a checkpoint in the engine.
 type ItemDump struct {
 	Key       string `json:"key"`
 	State     string `json:"state"`
@@ -38,7 +39,7 @@
 	Order     uint64 `json:"order,omitempty"`
 }
 
-// SlotDump is the dump of a slot.
+// SlotDump describes a slot.
 type SlotDump struct {
 	Slot       core.SlotID `json:"slot"`
 	Generation uint64      `json:"generation"`
@@ -79,13 +80,13 @@
 			Foreign: it.target == nil, Closing: it.closing, Order: it.order,
 		})
 	}
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		state.Slots = append(state.Slots, SlotDump{
 			Slot: s.id, Generation: s.generation, Owned: s.owned, AdapterMax: s.layout.max,
-			Running: len(s.running), Waiting: s.waitingBefore(classBatch), Starved: s.starved,
+			Running: len(s.running), Waiting: s.waitingUpTo(classBatch), Starved: s.starved,
 		})
 	}
-	for _, r := range p.releases {
+	for _, r := range p.pendingReleases {
 		state.Releases = append(state.Releases, r.slot)
 	}
 	return state
--- a/internal/core/agent/heap.go
+++ b/internal/core/agent/heap.go
@@ -5,14 +5,14 @@
 type heap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	// pos points to where an element keeps its position plus one; 0 means
+	// pos returns a pointer to the position of an element plus one; 0 means
 	// that it is not in the heap.
 	pos func(T) *int
 }
 
 func (h *heap[T]) len() int { return len(h.items) }
 
-// top returns the least element of a heap that is not empty.
+// top returns the least element. The heap must not be empty.
 func (h *heap[T]) top() T { return h.items[0] }
 
 func (h *heap[T]) push(item T) {
@@ -27,7 +27,7 @@
 	return item
 }
 
-// remove takes an element out; it does nothing if the element is not in.
+// remove removes an element; it does nothing if the element is not in the heap.
 func (h *heap[T]) remove(item T) {
 	i := *h.pos(item) - 1
 	if i < 0 {
--- a/internal/core/agent/idle.go
+++ b/internal/core/agent/idle.go
@@ -6,14 +6,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// IdlePolicy decides how long an idle checkpoint stays loaded. Keys are
-// "<model or adapter>@<version>". An implementation is deterministic.
+// IdlePolicy decides how long an idle checkpoint stays loaded. Keys have the
+// form "<model or adapter>@<version>". An implementation must be deterministic.
 type IdlePolicy interface {
-	// Arrival notes a request for key.
+	// Arrival records a request for key.
 	Arrival(now core.Time, key string)
-	// KeepUntil returns the time at which key, idle now, is to be unloaded;
-	// core.Never keeps it. The checkpoint with the earliest time is the first
-	// to go when memory is short.
+	// KeepUntil returns the time at which key, idle since now, is to be
+	// unloaded; core.Never keeps it loaded. When memory is short, the
+	// checkpoint with the earliest time is evicted first.
 	KeepUntil(now core.Time, key string) core.Time
 }
 
@@ -31,8 +31,8 @@
 // Arrival implements IdlePolicy.
 func (f *FixedTTL) Arrival(now core.Time, key string) { f.last[key] = now }
 
-// KeepUntil implements IdlePolicy. A key that never had a request, such as one
-// adopted after a restart, is kept for one TTL from the first question on.
+// KeepUntil implements IdlePolicy. A key without a request so far, such as one
+// adopted after a restart, is kept for one TTL from the first call on.
 func (f *FixedTTL) KeepUntil(now core.Time, key string) core.Time {
 	last, ok := f.last[key]
 	if !ok {
--- a/internal/core/agent/inventory.go
+++ b/internal/core/agent/inventory.go
@@ -7,22 +7,24 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// inventoryState keeps at most one inventory outstanding, so that an answer
-// is matched to the time it was asked for.
+// inventoryState tracks the inventory requests. At most one is outstanding, so
+// that an answer can be matched to the time of its request.
 type inventoryState struct {
-	asked       uint64
-	askedAt     core.Time
+	sequence    uint64
+	requestedAt core.Time
 	outstanding bool
-	// again is when to ask once the outstanding answer is here, or Never.
-	again    core.Time
+	// repeatAt is when to send the next request after the outstanding answer
+	// has arrived; core.Never if none is needed.
+	repeatAt core.Time
 	failures int
 	timer    timer
-	// dropped holds the keys that the engine gave up since the outstanding
-	// inventory was asked for; it may still show them.
+	// dropped holds the keys that were unloaded since the outstanding inventory
+	// was requested; its answer may still list them.
 	dropped map[string]bool
 }
 
-// start asks the engine what it has loaded, before anything else.
+// start runs on the first step. It requests an inventory of the engine before
+// anything else.
 func (p *Part) start() {
 	p.started = true
 	p.startedAt = p.now
@@ -30,50 +32,49 @@
 		p.settled, p.inventoried = true, true
 		return
 	}
-	p.timers.set(&p.leftoverTimer, p.leftoversUntil())
-	p.takeInventory()
+	p.timers.set(&p.foreignTimer, p.foreignKeptUntil())
+	p.requestInventory()
 	p.timers.set(&p.prefetch.timer, p.now.Add(prefetchPause))
 }
 
-// leftoversUntil is how long a new process keeps what its predecessor loaded
-// while it has no Grant.
-//
-// Failure: an agent dies and its successor is cut off from every entry. It
-// owns nothing and would hold the predecessor's replicas for ever, while the
-// steward takes their slots away after the predecessor's tenure. It shows as
-// one replica too many. Guard: the predecessor was bound to unload a lead
-// before the end of its tenure; half a lead after its own start the successor
-// unloads in its place.
-func (p *Part) leftoversUntil() core.Time {
+// foreignKeptUntil returns the time until which a new process without a Grant
+// keeps the checkpoints that its predecessor loaded. The predecessor had to
+// unload one UnloadLead before the end of its tenure; the successor unloads in
+// its place half an UnloadLead after its own start. Without this limit, a
+// successor that can reach no entry owns nothing but would hold the replicas of
+// the predecessor indefinitely, while the steward reassigns their slots after
+// the tenure of the predecessor, and one replica too many would be loaded.
+func (p *Part) foreignKeptUntil() core.Time {
 	return p.startedAt.Add(p.cfg.Timings.UnloadLead / 2)
 }
 
-// askInventory asks for an inventory at the given time or soon after.
-func (p *Part) askInventory(at core.Time) {
+// scheduleInventory requests an inventory at the given time, or when the
+// outstanding one has been answered.
+func (p *Part) scheduleInventory(at core.Time) {
 	inv := &p.inventory
 	if inv.outstanding {
-		inv.again = min(inv.again, at)
+		inv.repeatAt = min(inv.repeatAt, at)
 		return
 	}
 	switch {
 	case at <= p.now:
-		p.takeInventory()
+		p.requestInventory()
 	case !inv.timer.set() || at < inv.timer.at:
 		p.timers.set(&inv.timer, at)
 	}
 }
 
-func (p *Part) takeInventory() {
+func (p *Part) requestInventory() {
 	inv := &p.inventory
-	inv.asked++
-	inv.askedAt, inv.outstanding, inv.again = p.now, true, core.Never
+	inv.sequence++
+	inv.requestedAt, inv.outstanding, inv.repeatAt = p.now, true, core.Never
 	p.timers.stop(&inv.timer)
 	p.count(inventoriesTotal)
 	p.emit(core.TakeInventory{})
 }
 
-// takeStock handles the engine's inventory.
-func (p *Part) takeStock(ev core.Inventory) {
+// handleInventory processes the answer of the engine to an inventory request.
+func (p *Part) handleInventory(ev core.Inventory) {
 	inv := &p.inventory
 	if !inv.outstanding {
 		return
@@ -82,33 +83,33 @@
 	if ev.Code != code.OK {
 		clear(inv.dropped)
 		inv.failures++
-		p.askInventory(min(inv.again, p.now.Add(backoff(inv.failures))))
-		p.refuseLost()
+		p.scheduleInventory(min(inv.repeatAt, p.now.Add(backoff(inv.failures))))
+		p.refuseWhileEngineDown()
 		return
 	}
 	inv.failures = 0
 	p.totalMiB, p.checksFencing = ev.MemoryMiB, ev.ChecksFencing
-	p.takeRole(ev)
-	p.takeCached(ev.Cached)
+	p.updateRole(ev)
+	p.updateCached(ev.Cached)
 	p.compareItems(ev.Items)
 	clear(inv.dropped)
 	p.planInventory()
 	p.foreignDirty, p.statusDirty = true, true
 	p.updateReady()
-	p.markAll()
+	p.markAllDirty()
 }
 
-// engineLost reports whether the engine does not answer. Nothing can be loaded
-// until it does.
-func (p *Part) engineLost() bool { return p.inventory.failures >= lostEngine }
+// engineDown reports whether the engine does not answer inventory requests.
+// Nothing can be loaded until it does.
+func (p *Part) engineDown() bool { return p.inventory.failures >= engineDownFailures }
 
-// refuseLost refuses at once what waits for a load by an engine that does not
-// answer.
-func (p *Part) refuseLost() {
-	if !p.engineLost() {
+// refuseWhileEngineDown refuses all requests that wait for a load while the
+// engine does not answer.
+func (p *Part) refuseWhileEngineDown() {
+	if !p.engineDown() {
 		return
 	}
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		for _, t := range s.targets {
 			if !t.loaded() {
 				p.refuseTarget(t, code.LoadFailed, backoff(p.inventory.failures))
@@ -117,20 +118,22 @@
 	}
 }
 
-// planInventory asks again where questions are open, and settles the start.
+// planInventory schedules the next inventory and sets settled once the
+// inventory covers all orders of the predecessor.
 //
-// Failure: the process that ran here before died right after it sent an order,
-// and the order reaches the engine after the first inventory; a load decided
-// on that inventory overcommits the memory. Guard: an order is not sent past
-// its validity, so an inventory asked for later than one validity after this
-// process started shows all that the predecessor did. Nothing is loaded before it.
+// A predecessor that died right after sending an order leaves an order that may
+// reach the engine after the first inventory; a load decided on that inventory
+// could overcommit the memory. Orders are not sent after their validity, so an
+// inventory requested more than one OrderValidity after the start of this
+// process shows the effect of all orders of the predecessor. Nothing is loaded
+// before that.
 func (p *Part) planInventory() {
 	inv := &p.inventory
 	settledFrom := p.startedAt.Add(p.cfg.Timings.OrderValidity) + 1
-	if inv.askedAt >= settledFrom {
+	if inv.requestedAt >= settledFrom {
 		p.settled = true
 	} else {
-		p.askInventory(max(settledFrom, p.now))
+		p.scheduleInventory(max(settledFrom, p.now))
 	}
 	open := core.Never
 	for _, key := range core.SortedKeys(p.items) {
@@ -139,34 +142,35 @@
 		}
 	}
 	routine := p.now.Add(p.cfg.Limits.InventoryInterval)
-	p.askInventory(min(inv.again, open, routine))
+	p.scheduleInventory(min(inv.repeatAt, open, routine))
 }
 
-// compareItems compares what the engine holds with what the agent knows.
+// compareItems updates the items from the checkpoints that the engine lists.
 func (p *Part) compareItems(held []core.LoadedItem) {
 	present := make(map[string]bool, len(held))
 	for _, li := range held {
 		present[li.Key] = true
 		if it := p.items[li.Key]; it != nil {
-			p.shownItem(it, li)
+			p.updateFromInventory(it, li)
 			continue
 		}
-		p.foundItem(li)
+		p.addForeignItem(li)
 	}
 	for _, key := range core.SortedKeys(p.items) {
 		if !present[key] {
-			p.missingItem(p.items[key])
+			p.removeMissingItem(p.items[key])
 		}
 	}
 }
 
-// outdated reports whether an inventory can't tell about an item, because an
-// order for it was under way at some time since the inventory was asked for.
+// outdated reports whether the inventory gives no information about an item,
+// because an order for it was pending at some time since the inventory was
+// requested.
 func (p *Part) outdated(it *item) bool {
-	return it.order != 0 || p.inventory.asked <= it.touched
+	return it.order != 0 || p.inventory.sequence <= it.lastInventory
 }
 
-func (p *Part) shownItem(it *item, li core.LoadedItem) {
+func (p *Part) updateFromInventory(it *item, li core.LoadedItem) {
 	if p.outdated(it) {
 		return
 	}
@@ -184,9 +188,10 @@
 	}
 }
 
-// foundItem takes in a checkpoint that the agent did not load: a predecessor's,
-// or the late effect of an order. Its memory is reserved from now on.
-func (p *Part) foundItem(li core.LoadedItem) {
+// addForeignItem adds a checkpoint that the agent has no item for: one that a
+// predecessor loaded, or the late effect of an order. Its memory is reserved
+// from here on.
+func (p *Part) addForeignItem(li core.LoadedItem) {
 	if p.inventory.dropped[li.Key] {
 		return
 	}
@@ -200,13 +205,13 @@
 	p.addItem(it)
 }
 
-// missingItem handles a checkpoint that the engine does not have.
-func (p *Part) missingItem(it *item) {
+// removeMissingItem processes an item that the engine does not list.
+func (p *Part) removeMissingItem(it *item) {
 	if p.outdated(it) {
 		return
 	}
-	if it.state == itemUnknown && p.inventory.askedAt <= it.notAfter {
-		return // see settleByInventory: asked too early to be proof
+	if it.state == itemUnknown && p.inventory.requestedAt <= it.notAfter {
+		return // requested too early to be proof, see awaitInventory
 	}
 	t, failed := it.target, it.state == itemUnknown && it.wasLoading
 	p.dropItem(it)
@@ -216,11 +221,11 @@
 		return
 	}
 	if t != nil && !it.closing {
-		p.note("model vanished from the engine", "key", it.key)
+		p.note("loaded checkpoint missing from the inventory", "key", it.key)
 	}
 }
 
-func (p *Part) takeCached(cached []core.CachedCheckpoint) {
+func (p *Part) updateCached(cached []core.CachedCheckpoint) {
 	p.cached = make(map[string]core.Tier, len(cached))
 	for _, c := range cached {
 		if old, ok := p.cached[c.Key]; !ok || c.Tier < old {
@@ -230,23 +235,23 @@
 	p.cachedList = cached
 }
 
-// cache notes a copy that the agent's own order made, before the engine's late
-// event tells of it.
-func (p *Part) cache(key string, tier core.Tier) {
+// recordCached records a copy that an order of this agent created, before the
+// engine reports it.
+func (p *Part) recordCached(key string, tier core.Tier) {
 	if old, ok := p.cached[key]; !ok || tier < old {
 		p.cached[key] = tier
 		p.cachedList = append(slices.Clone(p.cachedList), core.CachedCheckpoint{Key: key, Tier: tier})
 	}
 }
 
-// reconcileForeign adopts or unloads the checkpoints that no slot accounts
-// for. It waits for the first Grant, because the steward moves the slots of a
-// dead incarnation to the new one on the same host: what the predecessor
-// loaded for them stays useful.
+// reconcileForeign adopts or unloads the checkpoints that are not assigned to a
+// slot. It waits for the first Grant, because the steward moves the slots of a
+// dead incarnation to the new one on the same host, and what the predecessor
+// loaded for them can be reused.
 func (p *Part) reconcileForeign() {
 	p.foreignDirty = false
 	owns := p.tenure.granted && p.snapshot != nil
-	if !p.settled || !owns && p.now < p.leftoversUntil() {
+	if !p.settled || !owns && p.now < p.foreignKeptUntil() {
 		return
 	}
 	keys := core.SortedKeys(p.items)
@@ -266,12 +271,12 @@
 	}
 }
 
-// adopt gives a foreign item to the slot that wants it, if there is one.
+// adopt assigns a foreign item to the target that needs it, if there is one.
 func (p *Part) adopt(it *item) {
 	if it.target != nil || it.state != itemLoaded || it.closing {
 		return
 	}
-	t := p.wantedBy(it)
+	t := p.targetFor(it)
 	if t == nil {
 		return
 	}
@@ -280,9 +285,9 @@
 	p.note("checkpoint adopted", "key", it.key)
 }
 
-func (p *Part) wantedBy(it *item) *target {
-	for _, s := range p.ordered {
-		if p.slotMustGo(s) != code.OK {
+func (p *Part) targetFor(it *item) *target {
+	for _, s := range p.sortedSlots {
+		if p.drainReason(s) != code.OK {
 			continue
 		}
 		if it.base == "" {
@@ -291,14 +296,14 @@
 			}
 			continue
 		}
-		if t := p.adapterWanting(s, it); t != nil {
+		if t := p.adapterTargetFor(s, it); t != nil {
 			return t
 		}
 	}
 	return nil
 }
 
-func (p *Part) adapterWanting(s *slot, it *item) *target {
+func (p *Part) adapterTargetFor(s *slot, it *item) *target {
 	if p.checkpointOf(s.base).key != it.base {
 		return nil
 	}
@@ -313,7 +318,8 @@
 	return nil
 }
 
-// unloadForeign unloads an item that nobody wants, a base after its adapters.
+// unloadForeign unloads an item that no slot needs; a base is unloaded after
+// its adapters.
 func (p *Part) unloadForeign(it *item) {
 	if it.state != itemLoaded || it.order != 0 {
 		return
--- a/internal/core/agent/job.go
+++ b/internal/core/agent/job.go
@@ -7,49 +7,52 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// jobState is where a request is in its life.
+// jobState is the stage of processing of a request.
 type jobState uint8
 
 const (
-	// jobWaiting: accepted, not handed to the backend server.
+	// jobWaiting: accepted and not running at the backend server.
 	jobWaiting jobState = iota + 1
 	jobRunning
-	// jobEnded: the backend server's answer is complete or broken off.
+	// jobEnded: the answer of the backend server is complete or was aborted, or
+	// the request was refused.
 	jobEnded
 )
 
-// job is one execution of a request. Attempts that carry the same idempotency
-// key share a job; each has a viewer.
+// job is one execution of a request. Attempts with the same idempotency key
+// share a job; each has a subscriber.
 type job struct {
-	// start is the Start message of the first attempt, which names the run.
-	start    core.Start
-	order    uint64
-	class    class
-	weight   int64
-	target   *target
-	state    jobState
-	deadline core.Time
-	expiry   timer
+	// start is the Start message of the first attempt, whose ID identifies the
+	// run.
+	start       core.Start
+	order       uint64
+	class       class
+	weight      int64
+	target      *target
+	state       jobState
+	deadline    core.Time
+	expiryTimer timer
 
-	// Positions in target.parked, in a lane and in a share; index in
+	// Positions in target.parked, in a flow and in an accountBacklog; index in
 	// slot.running.
-	parkPos, lanePos, sharePos, runPos int
+	parkPos, flowPos, backlogPos, runPos int
 
 	arrivedAt, startedAt core.Time
 	requeues             int
-	// cancelled: nobody waits for it. cut: the agent broke it off.
+	// cancelled: the run was cancelled because no attempt waits for it, or
+	// because it was cut. cut: the agent aborted it.
 	cancelled, cut bool
-	// yielding: its run is being broken off to make room, to go on later;
-	// yields counts the times.
-	yielding bool
-	yields   int
+	// preempting: its run is being cancelled to free capacity and will be
+	// resumed later; preemptions counts how often that was done.
+	preempting  bool
+	preemptions int
 
-	key     jobKey
-	hash    uint64
-	answer  answer
-	viewers []*viewer
-	// retain ends the time for which an ended job is kept.
-	retain timer
+	key         jobKey
+	hash        uint64
+	answer      answer
+	subscribers []*subscriber
+	// retainTimer fires when an ended job may be dropped.
+	retainTimer timer
 }
 
 func (j *job) attempt() core.AttemptID { return j.start.Attempt }
@@ -62,24 +65,24 @@
 		deadline: p.now.Add(m.Remaining), arrivedAt: p.now,
 	}
 	j.answer.seq = m.ResumeFrom
-	j.expiry.fire = func() { p.deadlinePassed(j) }
+	j.expiryTimer.fire = func() { p.deadlinePassed(j) }
 	return j
 }
 
-// enqueue lets a job wait at its target.
+// enqueue adds a job to the queues of its target.
 func (p *Part) enqueue(j *job) {
-	p.timers.set(&j.expiry, j.deadline)
+	p.timers.set(&j.expiryTimer, j.deadline)
 	p.backlog.add(j)
 	j.target.slot.waiting[j.class]++
 	p.park(j)
 	p.statusDirty = true
-	p.mark(j.target.slot)
+	p.markDirty(j.target.slot)
 }
 
-// park puts a waiting job behind the load of its target.
+// park queues a waiting job until its target is loaded.
 func (p *Part) park(j *job) { j.target.parked.push(j) }
 
-// unpark makes the jobs of a loaded target ready to run.
+// unpark moves the jobs of a loaded target to the ready queue.
 func (p *Part) unpark(t *target) {
 	for t.loaded() && t.parked.len() > 0 {
 		j := t.parked.pop()
@@ -88,8 +91,9 @@
 	}
 }
 
-// repark puts ready jobs whose target is not loaded any more back.
-func (p *Part) repark(s *slot) {
+// reparkUnloaded moves ready jobs whose target is not loaded back to the parked
+// jobs.
+func (p *Part) reparkUnloaded(s *slot) {
 	var keep []*job
 	for j := s.ready.pop(); j != nil; j = s.ready.pop() {
 		if j.target.loaded() {
@@ -104,25 +108,26 @@
 	}
 }
 
-// dequeue takes a waiting job out of all queues.
+// dequeue removes a waiting job from all queues.
 func (p *Part) dequeue(j *job) {
 	t := j.target
-	if j.lanePos != 0 {
+	if j.flowPos != 0 {
 		t.slot.ready.remove(j)
 		t.ready--
 	}
 	t.parked.remove(j)
-	p.leftQueue(j)
+	p.stopWaiting(j)
 }
 
-func (p *Part) leftQueue(j *job) {
+// stopWaiting updates the counts and timers when a job leaves its queue.
+func (p *Part) stopWaiting(j *job) {
 	p.backlog.remove(j)
 	j.target.slot.waiting[j.class]--
-	p.timers.stop(&j.expiry)
+	p.timers.stop(&j.expiryTimer)
 	p.statusDirty = true
 }
 
-// dispatch runs ready jobs while the replica has room.
+// dispatch runs ready jobs while the replica has capacity.
 func (p *Part) dispatch(s *slot) {
 	if s.service {
 		p.unpark(s.base)
@@ -138,27 +143,28 @@
 			p.park(j)
 			continue
 		}
-		if p.tooLate(j) {
+		if p.wouldMissDeadline(j) {
 			p.refuse(j, code.DeadlineUnmet, max(p.startsIn(j.target, j.class, j.start.ClientAccount), minRetryAfter))
 			continue
 		}
 		p.run(j)
 	}
-	p.yieldPlaces(s)
+	p.preemptRuns(s)
 }
 
-// tooLate tells that a job would be cut off by its deadline at a place that
-// others wait for. Alone it is tried: its length is not known.
-func (p *Part) tooLate(j *job) bool {
+// wouldMissDeadline reports whether a job would probably exceed its deadline
+// while other jobs wait for the same capacity. A job that no other waits behind
+// is run anyway, because its duration is not known.
+func (p *Part) wouldMissDeadline(j *job) bool {
 	s := j.target.slot
-	return j.yields == 0 && s.ready.len() > 0 && j.deadline.Sub(p.now) < s.runTime[j.class].known()
+	return j.preemptions == 0 && s.ready.len() > 0 && j.deadline.Sub(p.now) < s.runTime[j.class].measured()
 }
 
-// run hands a job to the backend server. From here on no answer may say that
-// it did not run, unless the engine says so.
+// run passes a job to the backend server. From here on no answer may state that
+// it did not run, unless the engine reports so.
 func (p *Part) run(j *job) {
 	t := j.target
-	p.leftQueue(j)
+	p.stopWaiting(j)
 	j.state, j.startedAt = jobRunning, p.now
 	j.runPos = len(t.slot.running)
 	t.slot.running = append(t.slot.running, j)
@@ -177,7 +183,7 @@
 	})
 }
 
-// stopRunning takes a job off its replica.
+// stopRunning removes a job from the running jobs of its replica.
 func (p *Part) stopRunning(j *job) {
 	s := j.target.slot
 	last := len(s.running) - 1
@@ -188,7 +194,7 @@
 	j.target.running--
 	delete(p.runs, j.attempt())
 	p.statusDirty = true
-	p.mark(s)
+	p.markDirty(s)
 }
 
 // deadlinePassed refuses a job that still waits at its deadline.
@@ -196,32 +202,33 @@
 	p.refuse(j, code.DeadlinePassed, 0)
 }
 
-// refuse ends a waiting job: it did not run and never will.
+// refuse ends a waiting job as not run. A job that ran before it was preempted
+// is failed instead.
 func (p *Part) refuse(j *job, reason code.Code, retryAfter time.Duration) {
-	if j.yields > 0 {
-		p.breakOff(j, reason)
+	if j.preemptions > 0 {
+		p.failPreempted(j, reason)
 		return
 	}
 	p.dequeue(j)
 	j.state = jobEnded
 	p.forgetKey(j)
-	for _, v := range j.viewers {
-		p.reject(v.entry, v.attempt, reason, retryAfter, j.deadline)
-		p.closeViewer(v)
+	for _, sub := range j.subscribers {
+		p.reject(sub.entry, sub.attempt, reason, retryAfter, j.deadline)
+		p.closeSubscriber(sub)
 	}
-	j.viewers = nil
-	p.mark(j.target.slot)
+	j.subscribers = nil
+	p.markDirty(j.target.slot)
 }
 
-// reject answers an attempt with "not run" and leaves a tombstone, so that the
-// answer stays true whatever arrives later.
+// reject answers an attempt with "not run" and records a tombstone, so that a
+// message that arrives later can't make the attempt run.
 func (p *Part) reject(to core.HostID, a core.AttemptID, reason code.Code, retryAfter time.Duration, deadline core.Time) {
 	p.past.add(p.now, pastAttempt{attempt: a, refusal: reason}, deadline)
 	p.countCode(requestsTotal, reason)
 	p.send(to, core.Rejected{Attempt: a, Code: reason, RetryAfter: retryAfter})
 }
 
-// refuseTarget refuses everything that waits at a target.
+// refuseTarget refuses all waiting jobs of a target.
 func (p *Part) refuseTarget(t *target, reason code.Code, retryAfter time.Duration) {
 	if t.ready > 0 {
 		p.parkReady(t)
@@ -231,7 +238,7 @@
 	}
 }
 
-// parkReady moves a target's ready jobs back to its parked ones.
+// parkReady moves the ready jobs of a target back to its parked jobs.
 func (p *Part) parkReady(t *target) {
 	var others []*job
 	for j := t.slot.ready.pop(); j != nil; j = t.slot.ready.pop() {
@@ -247,8 +254,8 @@
 	}
 }
 
-// refuseBeyond refuses at once the jobs waiting for a load that can't start
-// before their deadline if it takes wait from now.
+// refuseBeyond refuses the jobs that wait for a load and whose deadline is not
+// later than wait from now.
 func (p *Part) refuseBeyond(t *target, wait time.Duration, reason code.Code) {
 	reachable := p.now.Add(wait)
 	for t.parked.len() > 0 && t.parked.top().deadline <= reachable {
@@ -256,7 +263,7 @@
 	}
 }
 
-// cancelRun stops a running job at the backend server.
+// cancelRun cancels a running job at the backend server.
 func (p *Part) cancelRun(j *job) {
 	if j.state == jobRunning && !j.cancelled {
 		j.cancelled = true
@@ -264,7 +271,8 @@
 	}
 }
 
-// cutJob breaks off a job that holds up an unload past its bound.
+// cutJob aborts a running job that has delayed an unload for longer than
+// allowed.
 func (p *Part) cutJob(j *job) {
 	j.cut = true
 	p.note("request cut", "target", j.target.name)
--- a/internal/core/agent/keyed.go
+++ b/internal/core/agent/keyed.go
@@ -9,14 +9,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// jobKey is a caller's idempotency key within its client account.
+// jobKey is the idempotency key of a caller, scoped to its client account.
 type jobKey struct {
 	account string
 	key     string
 }
 
-// hashRequest tells requests apart that carry the same key. A client account can
-// only collide with itself.
+// hashRequest hashes the request to detect different requests with the same
+// key. The hash is not cryptographic: a client account can only create
+// collisions with its own requests.
 func hashRequest(m core.Start) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -28,7 +29,7 @@
 	return d.Sum64()
 }
 
-// registerKey makes a keyed job known to attempts that join it.
+// registerKey registers a keyed job so that other attempts can join it.
 func (p *Part) registerKey(j *job) {
 	if j.start.Key == "" {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// joinKeyed attaches an attempt to the job with its key. It returns false if
-// there is none.
+// joinKeyed adds an attempt as a subscriber to the job with its key. It returns
+// false if there is no such job.
 func (p *Part) joinKeyed(from core.HostID, m core.Start) bool {
 	if m.Key == "" {
 		return false
@@ -59,39 +60,40 @@
 		p.reject(from, m.Attempt, code.DuplicateKey, 0, p.now.Add(m.Remaining))
 		return true
 	}
-	number, kept := j.answer.pieceAt(m.ResumeFrom)
+	number, kept := j.answer.frameAt(m.ResumeFrom)
 	if !kept || j.cancelled {
-		// The request ran, so "not run" would be untrue, and its answer can't
-		// be given whole any more.
+		// The request was run, so "not run" would be false, but its answer
+		// can't be sent completely any more.
 		p.past.add(p.now, pastAttempt{attempt: m.Attempt, ran: true}, p.now.Add(m.Remaining))
 		p.sendEnd(from, m.Attempt, 0, code.OutcomeUnknown)
 		return true
 	}
 	p.replaceOlder(j, m.Attempt)
-	v := p.addViewer(j, from, m.Attempt, m.Window)
-	v.next, v.acked, v.allowed = number, number, number+uint64(m.Window)
-	p.sendTo(v, core.Accepted{Attempt: m.Attempt})
-	p.pump(v)
+	sub := p.addSubscriber(j, from, m.Attempt, m.Window)
+	sub.next, sub.acked, sub.allowed = number, number, number+uint64(m.Window)
+	p.sendTo(sub, core.Accepted{Attempt: m.Attempt})
+	p.pump(sub)
 	return true
 }
 
-// replaceOlder drops the viewers of older attempts of the same request: their
-// entry has given them up. Viewers of other requests with the same key stay,
-// as other callers wait for those.
+// replaceOlder removes the subscribers of older attempts of the same request,
+// which their entry has given up. Subscribers of other requests with the same
+// key stay, because other callers wait for them.
 func (p *Part) replaceOlder(j *job, a core.AttemptID) {
-	j.viewers = slices.DeleteFunc(j.viewers, func(v *viewer) bool {
-		if v.attempt.Request != a.Request {
+	j.subscribers = slices.DeleteFunc(j.subscribers, func(sub *subscriber) bool {
+		if sub.attempt.Request != a.Request {
 			return false
 		}
-		p.past.add(p.now, pastAttempt{attempt: v.attempt, ran: true}, j.deadline)
-		p.closeViewer(v)
+		p.past.add(p.now, pastAttempt{attempt: sub.attempt, ran: true}, j.deadline)
+		p.closeSubscriber(sub)
 		return true
 	})
 }
 
-// keepResult decides how long an ended job stays. Without a key: for the
-// resume window, in which the entry may ask for lost frames again. With one:
-// for ResultLife, unless it is idempotent and failed, and so may run again.
+// keepResult sets how long an ended job is retained. A job without a key is
+// retained for the resume window, in which the entry may request lost frames
+// again; a job with a key for ResultLife, unless it is idempotent and failed,
+// and may therefore run again.
 func (p *Part) keepResult(j *job) {
 	life := p.cfg.Limits.ResumeWindow
 	switch {
@@ -100,28 +102,30 @@
 		p.forgetKey(j)
 	default:
 		life = p.cfg.Limits.ResultLife
-		p.boundResults(j)
+		p.limitResults(j)
 	}
-	j.retain.fire = func() { p.retainOver(j) }
-	p.timers.set(&j.retain, p.now.Add(life))
+	j.retainTimer.fire = func() { p.retainExpired(j) }
+	p.timers.set(&j.retainTimer, p.now.Add(life))
 }
 
-// retainOver retires an ended job, but not while a slow reader still takes its
-// answer: it has until the request's deadline, when its entry gives up too.
-func (p *Part) retainOver(j *job) {
-	unsent := slices.ContainsFunc(j.viewers, func(v *viewer) bool { return !v.endSent })
+// retainExpired drops an ended job. If a slow reader has not received the whole
+// answer, the job is retained until one resume window after the deadline of the
+// request, when the entry has given up as well.
+func (p *Part) retainExpired(j *job) {
+	unsent := slices.ContainsFunc(j.subscribers, func(sub *subscriber) bool { return !sub.endSent })
 	if window := p.cfg.Limits.ResumeWindow; unsent && p.now < j.deadline.Add(window) {
-		p.timers.set(&j.retain, p.now.Add(window))
+		p.timers.set(&j.retainTimer, p.now.Add(window))
 		return
 	}
-	p.retire(j)
+	p.dropJob(j)
 }
 
-// boundResults bounds the kept results. Past the byte limit the oldest answers
-// are dropped but their keys stay, so that a repeated request is answered
-// "outcome unknown" instead of running twice. Past the count limit the oldest
-// keys go too: the stated time holds up to ResultCount keyed requests in it.
-func (p *Part) boundResults(j *job) {
+// limitResults limits the retained results. Above the byte limit the oldest
+// answers are dropped but their keys stay, so that a repeated request is
+// answered "outcome unknown" instead of running twice. Above the count limit
+// the oldest keys are dropped as well: ResultLife is guaranteed only for up to
+// ResultCount keyed requests within it.
+func (p *Part) limitResults(j *job) {
 	p.results = append(p.results, j)
 	if j.answer.keepAll {
 		p.resultBytes += j.answer.bytes
@@ -131,11 +135,12 @@
 		p.dropAnswer(p.answers[0])
 	}
 	for len(p.results) > p.cfg.Limits.ResultCount {
-		p.retire(p.results[0])
+		p.dropJob(p.results[0])
 	}
 }
 
-// dropAnswer frees a kept answer; its viewers, if any, are past it.
+// dropAnswer stops retaining an answer and frees the frames that its
+// subscribers, if any, have acknowledged.
 func (p *Part) dropAnswer(j *job) {
 	if !j.answer.keepAll {
 		return
@@ -148,17 +153,17 @@
 	p.trim(j)
 }
 
-// retire forgets an ended job and remembers its attempts as run.
-func (p *Part) retire(j *job) {
-	p.timers.stop(&j.retain)
+// dropJob drops an ended job and records its attempts as run.
+func (p *Part) dropJob(j *job) {
+	p.timers.stop(&j.retainTimer)
 	p.forgetKey(j)
 	if i := slices.Index(p.results, j); i >= 0 {
 		p.results = slices.Delete(p.results, i, i+1)
 		p.dropAnswer(j)
 	}
-	for _, v := range j.viewers {
-		p.past.add(p.now, pastAttempt{attempt: v.attempt, ran: true}, j.deadline)
-		p.closeViewer(v)
+	for _, sub := range j.subscribers {
+		p.past.add(p.now, pastAttempt{attempt: sub.attempt, ran: true}, j.deadline)
+		p.closeSubscriber(sub)
 	}
-	j.viewers = nil
+	j.subscribers = nil
 }
--- a/internal/core/agent/layout_test.go
+++ b/internal/core/agent/layout_test.go
@@ -2,8 +2,8 @@
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// layoutOracle knows, for each model, the newest (generation, epoch) that the
-// agent was granted and that it called cleared.
+// layoutOracle records, for each model, the newest (generation, epoch) that the
+// agent was granted and the newest that it reported as cleared.
 type layoutOracle struct {
 	granted, cleared map[string]core.Slot
 }
@@ -12,7 +12,7 @@
 	return layoutOracle{granted: map[string]core.Slot{}, cleared: map[string]core.Slot{}}
 }
 
-// newerLayout tells whether a's AdapterMax is newer than b's.
+// newerLayout reports whether the AdapterMax of a is newer than that of b.
 func newerLayout(a, b core.Slot) bool {
 	return a.Generation > b.Generation || a.Generation == b.Generation && a.AdapterEpoch > b.AdapterEpoch
 }
@@ -23,18 +23,19 @@
 	}
 }
 
-// checkAdapterLoad: no load where adapters are not allowed, nor after the slot
-// was called cleared and no newer word came.
-func (w *world) checkAdapterLoad(model string) {
+// checkAdapterLoad fails if an adapter load is ordered where adapters are not
+// allowed, or after the slot was reported as cleared and no newer layout was
+// granted.
+func (w *simulation) checkAdapterLoad(model string) {
 	granted, cleared := w.layout.granted[model], w.layout.cleared[model]
 	if granted.AdapterMax == 0 || cleared.Generation != 0 && !newerLayout(granted, cleared) {
-		w.t.Fatalf("adapter of %s loaded by %+v after %+v was cleared", model, granted, cleared)
+		w.t.Fatalf("load of an adapter of %s ordered under %+v after %+v was reported as cleared", model, granted, cleared)
 	}
 }
 
-// checkCleared: the engine holds no adapter of the model and no load of one is
-// under way.
-func (w *world) checkCleared(slot core.Slot) {
+// checkCleared fails if the engine holds an adapter of the model, or one is
+// being loaded.
+func (w *simulation) checkCleared(slot core.Slot) {
 	keys := core.SortedKeys(w.held)
 	for _, o := range w.orders {
 		if o.Kind == core.OrderLoad && o.incarnation == w.inc {
@@ -43,7 +44,7 @@
 	}
 	for _, key := range keys {
 		if name, _ := splitKey(key); name == "x" && slot.ID.Model == "a" {
-			w.t.Fatalf("%+v called cleared with %s", slot, key)
+			w.t.Fatalf("%+v reported as cleared while %s is held", slot, key)
 		}
 	}
 	if newerLayout(slot, w.layout.cleared[slot.ID.Model]) {
@@ -51,9 +52,9 @@
 	}
 }
 
-// changeLayout is the steward's: it forbids adapters at any time, and allows
-// them when the slot is cleared.
-func (w *world) changeLayout() {
+// changeLayout acts as the steward: it forbids adapters at any time, and allows
+// them only when the slot is cleared.
+func (w *simulation) changeLayout() {
 	slot := w.table["a"]
 	switch {
 	case slot.AdapterMax != 0:
--- a/internal/core/agent/memory.go
+++ b/internal/core/agent/memory.go
@@ -9,21 +9,22 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// victim is a loaded checkpoint, or a base with its adapters, that could make
-// room.
+// victim is a loaded checkpoint, or a base with its adapters, that can be
+// evicted.
 type victim struct {
 	target *target
 	memory int64
-	// idleIn is 0 for an idle one.
+	// idleIn is the predicted time until it is idle; 0 if it is idle.
 	idleIn time.Duration
-	// keepUntil is the idle policy's value; least goes first.
+	// keepUntil is the KeepUntil value of the idle policy; the lowest is
+	// evicted first.
 	keepUntil core.Time
 }
 
-// free returns the accelerator memory that is not reserved.
+// free returns the accelerator memory in MiB that is not reserved.
 func (p *Part) free() int64 { return p.totalMiB - p.reservedMiB }
 
-// unloading returns the memory of checkpoints whose unload is under way.
+// unloading returns the memory in MiB of checkpoints that are being unloaded.
 func (p *Part) unloading() int64 {
 	var sum int64
 	for _, it := range p.items {
@@ -34,10 +35,11 @@
 	return sum
 }
 
-// roomFor predicts when memory for a load of t is free, and which checkpoints
-// have to go for it. It returns false when there is no prospect: the rest is
-// taken by models with requests waiting.
-func (p *Part) roomFor(t *target) (victims []victim, wait time.Duration, ok bool) {
+// planEviction predicts how long it takes until memory for a load of t is free,
+// and which checkpoints have to be evicted. It returns false if there is no
+// prospect: the remaining memory is taken by models with waiting requests, or
+// by checkpoints that must not be evicted.
+func (p *Part) planEviction(t *target) (victims []victim, wait time.Duration, ok bool) {
 	need := p.memoryNeed(t) - p.free() - p.unloading()
 	if need <= 0 {
 		return nil, 0, true
@@ -53,7 +55,8 @@
 	return nil, 0, false
 }
 
-// memoryNeed is what has to be reserved until t is loaded, its base included.
+// memoryNeed returns the memory in MiB that has to be reserved until t is
+// loaded, its base included.
 func (p *Part) memoryNeed(t *target) int64 {
 	var need int64
 	if t.item == nil {
@@ -65,11 +68,11 @@
 	return need
 }
 
-// candidates lists what could go for a load of t: idle ones first, and those
-// by the idle policy's value.
+// candidates returns what could be evicted for a load of t: idle checkpoints
+// first, in the order of the idle policy.
 func (p *Part) candidates(t *target) []victim {
 	var all []victim
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		if s != t.slot && p.evictable(s.base) {
 			if idleIn, ok := p.idleIn(s); ok {
 				all = append(all, p.victim(s.base, idleIn))
@@ -108,18 +111,19 @@
 	return v
 }
 
-// makeRoom reports whether the memory for t is free now. If not, it evicts
-// idle checkpoints, lets the requests wait for busy ones whose end is in
-// sight, or refuses them. It never evicts a checkpoint with work, and none in
-// vain: only once all that have to go are idle.
+// makeRoom reports whether the memory for t is free. If not, it evicts idle
+// checkpoints, lets the requests wait for busy checkpoints that are predicted
+// to become idle, or refuses the requests. It never evicts a checkpoint with
+// requests, and evicts nothing until all checkpoints that have to be evicted
+// are idle.
 func (p *Part) makeRoom(t *target) bool {
 	if p.checkpointOf(t).memoryMiB <= p.free() {
 		return true
 	}
-	victims, wait, ok := p.roomFor(t)
+	victims, wait, ok := p.planEviction(t)
 	if !ok {
 		t.wanted = false
-		p.noteCrowded(t.slot)
+		p.markCrowded(t.slot)
 		p.refuseTarget(t, code.NoMemory, p.memoryRetry())
 		return false
 	}
@@ -135,11 +139,11 @@
 	return false
 }
 
-// memoryRetry tells a refused caller when memory may be free: when the first
-// busy model is expected to be idle.
+// memoryRetry returns the Retry-After of a refusal for lack of memory: the time
+// until the first busy model is predicted to be idle.
 func (p *Part) memoryRetry() time.Duration {
 	retry := maxBackoff
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		if idleIn, ok := p.idleIn(s); ok && s.base.loaded() {
 			retry = min(retry, idleIn)
 		}
--- a/internal/core/agent/kept.go
+++ b/internal/core/agent/minadapters.go
@@ -7,9 +7,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// keptAdapters lists the adapters that are kept loaded even when idle, sorted,
-// by base.
-func keptAdapters(snapshot *api.Snapshot) map[string][]string {
+// buildMinAdapters returns, by base model, the sorted names of the adapters
+// that are kept loaded even when idle.
+func buildMinAdapters(snapshot *api.Snapshot) map[string][]string {
 	kept := map[string][]string{}
 	for _, name := range core.SortedKeys(snapshot.Adapters) {
 		if adapter := snapshot.Adapters[name]; adapter.Spec.Replicas.Min > 0 {
@@ -19,9 +19,10 @@
 	return kept
 }
 
-// updateKept brings minAdapters up to the configuration in force, of which
-// only the changed resources differ from the one before.
-func (p *Part) updateKept(before *api.Snapshot, changed []api.Key) {
+// updateMinAdapters updates minAdapters after a change of the configuration
+// from before to the snapshot in force, which differ only in the changed
+// resources.
+func (p *Part) updateMinAdapters(before *api.Snapshot, changed []api.Key) {
 	for _, key := range changed {
 		if key.Kind != api.KindAdapter {
 			continue
--- a/internal/core/agent/kept_test.go
+++ b/internal/core/agent/minadapters_test.go
@@ -11,9 +11,9 @@
 	"nutmeglane.example/nutmeglane/internal/api"
 )
 
-// TestUpdateKeptEqualsRebuild: after random changes of adapters the lists are
-// those that a walk over all adapters gives.
-func TestUpdateKeptEqualsRebuild(t *testing.T) {
+// TestUpdateMinAdaptersEqualsRebuild checks that after random changes of
+// adapters the incrementally updated lists equal lists built from all adapters.
+func TestUpdateMinAdaptersEqualsRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &Part{snapshot: &api.Snapshot{}, minAdapters: map[string][]string{}}
 		for range rapid.IntRange(1, 12).Draw(t, "changes") {
@@ -32,14 +32,14 @@
 				}
 			}
 			p.snapshot = next
-			p.updateKept(before, changed)
+			p.updateMinAdapters(before, changed)
 			got := map[string][]string{}
 			for base, names := range p.minAdapters {
 				if len(names) > 0 {
 					got[base] = names
 				}
 			}
-			if diff := cmp.Diff(keptAdapters(next), got, cmpopts.EquateEmpty()); diff != "" {
+			if diff := cmp.Diff(buildMinAdapters(next), got, cmpopts.EquateEmpty()); diff != "" {
 				t.Fatal(diff)
 			}
 		}
--- a/internal/core/agent/orders.go
+++ b/internal/core/agent/orders.go
@@ -5,44 +5,48 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// itemState is what the agent knows of a checkpoint in the engine.
+// itemState is the state of a checkpoint in the engine as far as the agent has
+// confirmed it.
 type itemState uint8
 
 const (
 	itemLoading itemState = iota + 1
 	itemLoaded
 	itemUnloading
-	// itemUnknown: an order's effect is unknown, or the engine is busy with
-	// an order of another incarnation. Only an inventory settles it.
+	// itemUnknown: the outcome of an order is unknown, or the engine executes
+	// an order of another incarnation. Only an inventory determines the state.
 	itemUnknown
 )
 
-// item is a checkpoint that holds accelerator memory, or may hold it. Its
-// memory is reserved exactly as long as the item exists.
+// item is a checkpoint that holds, or may hold, accelerator memory. Its memory
+// is reserved exactly as long as the item exists.
 type item struct {
 	key, base string
 	memoryMiB int64
 	fence     uint64
 	state     itemState
-	// target is nil for a foreign item: one that no slot of this incarnation
-	// accounts for.
+	// target is nil for a foreign item: one that is assigned to no slot of this
+	// incarnation.
 	target *target
-	// order is the pending order, 0 if none.
+	// order is the ID of the pending order, 0 if there is none.
 	order     uint64
 	orderedAt core.Time
-	// notAfter is when the last order can reach the engine at the latest.
+	// notAfter is the latest time at which the last order can reach the engine.
 	notAfter core.Time
-	// touched is the newest inventory that was asked for when the item's last
-	// order began or ended. Inventories up to it tell nothing about the item.
-	touched uint64
-	// wasLoading is set when the unknown order was a load.
+	// lastInventory is the number of the newest inventory that had been
+	// requested when the last order of the item began or ended. Inventories up
+	// to this number give no information about the item.
+	lastInventory uint64
+	// wasLoading is set if the last order was a load that has not succeeded
+	// yet.
 	wasLoading bool
 	// overlapped is set when an unload was ordered while a load was pending.
 	overlapped bool
 	// closing is set once the item is to be unloaded.
 	closing bool
 	// superseded is set when the engine refused to unload the item because a
-	// newer incarnation on this host loaded it. It is left alone.
+	// newer incarnation on this host loaded it. The agent takes no further
+	// action on it.
 	superseded bool
 	tier       core.Tier
 }
@@ -57,22 +61,21 @@
 	return name
 }
 
-// mayLoad reports whether the agent may order loads under a slot. Every load
-// order passes here in the step that emits it.
+// mayLoad reports whether the agent may order loads for a slot. Every load
+// order is checked here in the step that emits it.
 func (p *Part) mayLoad(s *slot) bool {
-	return p.settled && // the engine's memory is known, see inventory.go
+	return p.settled && // the contents of the engine are known, see planInventory
 		!p.role.draining &&
 		p.tenure.holds(p.now) && !p.tenureEnding() &&
-		s.owned && s.generation > p.released[s.id] &&
+		s.owned && s.generation > p.releasedGenerations[s.id] &&
 		!p.leaving
 }
 
-// orderLoad reserves memory and orders a load.
-//
-// Failure: two loads that each fit alone are ordered together and the engine
-// runs out of accelerator memory. Guard: the item, and with it the
-// reservation, exists before the order leaves, and only makeRoom's check
-// against the reserved sum lets a load through.
+// orderLoad reserves memory and orders a load. The item, and with it the
+// reservation, exists before the order is sent, and a load is ordered only
+// after makeRoom has checked it against the reserved total. Otherwise two loads
+// that each fit alone could be ordered together, and the engine would run out
+// of accelerator memory.
 func (p *Part) orderLoad(t *target) {
 	c := p.checkpointOf(t)
 	it := &item{
@@ -86,11 +89,11 @@
 		Kind: core.OrderLoad, Key: c.key, Base: c.base, MemoryMiB: c.memoryMiB,
 		CheckpointMiB: c.checkpointMiB, Fence: it.fence, NotAfter: notAfter,
 	})
-	p.noteLoad(it)
+	p.announceLoad(it)
 }
 
-// orderUnload orders an unload. Unloads need no tenure: they only make the
-// agent hold less.
+// orderUnload orders an unload. Unloads require no tenure, because they only
+// reduce what the agent holds.
 func (p *Part) orderUnload(it *item) {
 	fence := it.fence
 	if it.target != nil {
@@ -108,7 +111,7 @@
 	p.orderCount++
 	o.ID = p.orderCount
 	it.order, it.orderedAt, it.notAfter = o.ID, p.now, o.NotAfter
-	it.touched = p.inventory.asked
+	it.lastInventory = p.inventory.sequence
 	p.pending[o.ID] = it
 	p.emit(o)
 	p.statusDirty = true
@@ -119,8 +122,8 @@
 	p.reservedMiB += it.memoryMiB
 }
 
-// dropItem frees the memory of an item that the engine has not, by its own
-// word.
+// dropItem removes an item, and frees its reservation, after the engine has
+// reported that it does not hold the checkpoint.
 func (p *Part) dropItem(it *item) {
 	delete(p.items, it.key)
 	if p.inventory.outstanding {
@@ -131,15 +134,15 @@
 	if it.target != nil {
 		t := it.target
 		t.item = nil
-		p.timers.stop(&t.idle)
-		t.resting = false
-		p.repark(t.slot)
-		p.mark(t.slot)
+		p.timers.stop(&t.idleTimer)
+		t.isIdle = false
+		p.reparkUnloaded(t.slot)
+		p.markDirty(t.slot)
 	} else {
 		p.foreignDirty = true
-		p.markAll() // a slot may wait for this key
+		p.markAllDirty() // a slot may be waiting for this key to be unloaded
 	}
-	p.markStarved()
+	p.markStarvedDirty()
 }
 
 // orderDone handles the engine's answer to an order.
@@ -152,20 +155,20 @@
 		p.roleDone(done.Code)
 		return
 	}
-	p.noteLoadEnd(done.Order)
+	p.announceLoadEnd(done.Order)
 	it := p.pending[done.Order]
 	if it == nil {
 		return
 	}
 	delete(p.pending, done.Order)
 	if it.order != done.Order {
-		return // an unload was ordered on top; its answer and an inventory decide
+		return // superseded by an unload order, whose answer and an inventory decide
 	}
 	it.order = 0
-	it.touched = p.inventory.asked
+	it.lastInventory = p.inventory.sequence
 	p.statusDirty = true
 	if it.target != nil {
-		p.mark(it.target.slot)
+		p.markDirty(it.target.slot)
 	} else {
 		p.foreignDirty = true
 	}
@@ -184,24 +187,27 @@
 		p.learnLoad(it)
 		p.itemLoaded(it)
 	case code.OrderExpired:
-		// Never sent: no fault of the engine or the checkpoint.
+		// The order was never sent; neither the engine nor the checkpoint is at
+		// fault.
 		p.dropItem(it)
 		p.retryAt(t, p.now.Add(firstBackoff))
 	case code.FencedOut:
-		// Failure: this incarnation lost the slot and was not told, because
-		// it was paused or cut off. The engine knows a newer number.
+		// The engine has seen a higher fencing number: this incarnation lost
+		// the slot and did not receive the Grant, because it was paused or
+		// disconnected.
 		p.dropItem(it)
 		p.loseSlot(t.slot)
 	case code.EngineRefused, code.StoreFailed:
 		p.dropItem(it)
 		p.loadFailed(t)
 	case code.EngineNoMemory:
-		// The reservations and the engine disagree: ask what it holds.
+		// The reservations and the engine disagree: an inventory shows what it
+		// holds.
 		p.dropItem(it)
 		p.loadFailed(t)
-		p.askInventory(p.now)
+		p.scheduleInventory(p.now)
 	default:
-		p.settleByInventory(it)
+		p.awaitInventory(it)
 	}
 }
 
@@ -214,19 +220,20 @@
 	p.observe(loadSeconds, took.Seconds(), tierName(it.tier))
 }
 
-// itemLoaded lets requests run on a loaded item.
+// itemLoaded marks an item as loaded, so that requests can run on it.
 func (p *Part) itemLoaded(it *item) {
 	it.state, it.wasLoading = itemLoaded, false
 	t := it.target
-	// Guard: a wish that came while the load was under way is met by it. Kept,
-	// it would load the model again as soon as it is evicted or unloaded.
+	// A load request that arrived while the load was pending is fulfilled by
+	// it. If wanted stayed set, the model would be loaded again as soon as it
+	// is evicted or unloaded.
 	t.wanted = false
 	t.failures, t.retryAt = 0, 0
-	p.mark(t.slot)
+	p.markDirty(t.slot)
 }
 
-// loadFailed counts a failure, plans the retry, and refuses at once the
-// requests whose deadline the retry can't meet.
+// loadFailed counts a failure, schedules the retry and refuses the requests
+// whose deadline is before the retry can complete.
 func (p *Part) loadFailed(t *target) {
 	t.failures++
 	p.note("load failed", "target", t.name, "failures", formatUint(uint64(t.failures)))
@@ -240,13 +247,13 @@
 
 func (p *Part) retryAt(t *target, at core.Time) {
 	t.retryAt = at
-	p.timers.set(&t.retry, at)
+	p.timers.set(&t.retryTimer, at)
 }
 
 func (p *Part) loseSlot(s *slot) {
 	s.owned = false
 	s.lostGeneration = max(s.lostGeneration, s.generation)
-	p.note("slot lost to a newer fencing number", "model", s.id.Model,
+	p.note("slot lost to a higher fencing number", "model", s.id.Model,
 		"generation", formatUint(s.generation))
 }
 
@@ -258,36 +265,35 @@
 	case result == code.FencedOut:
 		p.supersede(it)
 	case result == code.OrderExpired && !it.overlapped:
-		it.state = itemLoaded // and still closing: ordered again
+		it.state = itemLoaded // closing is still set, so the unload is ordered again
 	default:
-		// Lost or refused, or a load order was under way at the same time.
-		p.settleByInventory(it)
+		// The order was lost or refused, or a load order was pending at the
+		// same time.
+		p.awaitInventory(it)
 	}
 }
 
-// supersede leaves an item to the newer incarnation that loaded it. Only a
-// process on this host can have given this engine a higher number. The memory
-// stays reserved until an inventory shows the item gone.
+// supersede stops managing an item that a newer incarnation loaded. Only a
+// process on this host can have sent a higher fencing number to this engine.
+// The memory stays reserved until an inventory shows that the item is gone.
 func (p *Part) supersede(it *item) {
 	it.superseded, it.state = true, itemUnknown
 	if t := it.target; t != nil {
 		t.item, it.target = nil, nil
-		p.repark(t.slot)
+		p.reparkUnloaded(t.slot)
 		p.loseSlot(t.slot)
 	}
 	p.foreignDirty = true
 }
 
-// settleByInventory stops all decisions about an item until the engine has
-// told what became of it.
-//
-// Failure: the answer of an order is lost, and the order may even still be on
-// its way; freeing the memory, or ordering the load again, would overcommit.
-// Guard: the item keeps its memory, and only an inventory that was asked for
-// after the order's NotAfter, when it can't arrive any more, counts as proof
-// that it had no effect.
-func (p *Part) settleByInventory(it *item) {
+// awaitInventory suspends all decisions about an item until an inventory shows
+// its state. The answer to an order is lost, and the order itself may still
+// reach the engine; freeing the memory or ordering the load again could
+// overcommit the memory. The item keeps its reservation, and only an inventory
+// requested after the NotAfter of the order, when the order can't arrive any
+// more, is proof that it had no effect.
+func (p *Part) awaitInventory(it *item) {
 	it.state = itemUnknown
 	p.note("order outcome unknown", "key", it.key)
-	p.askInventory(max(p.now.Add(firstBackoff), it.notAfter+1))
+	p.scheduleInventory(max(p.now.Add(firstBackoff), it.notAfter+1))
 }
--- a/internal/core/agent/part.go
+++ b/internal/core/agent/part.go
@@ -23,18 +23,18 @@
 
 	peers     map[core.HostID]*peer
 	peerOrder []core.HostID
-	// lost are the entries whose connections were lost lately, with the time from which
-	// on they ask no more.
-	lost map[core.HostID]core.Time
+	// lostEntries holds the entries whose connections were lost, with the time
+	// until which each may reconnect and ask for outcomes.
+	lostEntries map[core.HostID]core.Time
 
 	// Authority over slots.
-	tenure   tenure
-	slots    map[core.SlotID]*slot
-	ordered  []*slot
-	service  *slot
-	released map[core.SlotID]uint64
-	releases []releasedSlot
-	dirty    []*slot
+	tenure              tenure
+	slots               map[core.SlotID]*slot
+	sortedSlots         []*slot
+	service             *slot
+	releasedGenerations map[core.SlotID]uint64
+	pendingReleases     []releasedSlot
+	dirty               []*slot
 
 	// Authority over accelerator memory.
 	items         map[string]*item
@@ -48,30 +48,30 @@
 	settled       bool
 	inventoried   bool
 	foreignDirty  bool
-	leftoverTimer timer
+	foreignTimer  timer
 	cached        map[string]core.Tier
 	cachedList    []core.CachedCheckpoint
 	predictor     predictor
 	prefetch      prefetchState
 	permits       permitState
-	// priced is the idle policy unless the Config names another.
-	priced *idle.Policy
+	// pricedPolicy is the default idle policy; nil if Config.Idle is set.
+	pricedPolicy *idle.Policy
 
 	// Requests.
-	jobCount    uint64
-	backlog     *backlog
-	runs        map[core.AttemptID]*job
-	attempts    map[core.AttemptID]*viewer
-	openViewers int
-	past        past
-	keyed       map[jobKey]*job
-	// results are the ended keyed jobs, and answers those of them whose
-	// answer is kept whole, oldest first.
+	jobCount        uint64
+	backlog         *backlog
+	runs            map[core.AttemptID]*job
+	attempts        map[core.AttemptID]*subscriber
+	openSubscribers int
+	past            past
+	keyed           map[jobKey]*job
+	// results holds the ended keyed jobs, and answers those of them whose
+	// complete answer is retained, oldest first.
 	results     []*job
 	answers     []*job
 	resultBytes int
 
-	// What is said to others.
+	// Status and Report messages.
 	statusSequence uint64
 	statusDirty    bool
 	statusTimer    timer
@@ -84,13 +84,15 @@
 	leaveBy    core.Time
 	cutAt      core.Time
 	leaveTimer timer
-	// noteBy ends the wait for the steward's note of the last releases.
-	noteBy    core.Time
-	noteTimer timer
-	// partBy and partTimer end the wait for the entries' answers to Leaving.
-	partBy    core.Time
-	partTimer timer
-	// lostTimer ends the wait for entries that lost their connection.
+	// releaseAckBy ends the wait until the steward has acknowledged the
+	// releases; 0 before the wait began.
+	releaseAckBy    core.Time
+	releaseAckTimer timer
+	// leaveAckBy and leaveAckTimer end the wait for the answers to Leaving of
+	// entries that sent no work.
+	leaveAckBy    core.Time
+	leaveAckTimer timer
+	// lostTimer ends the wait for entries whose connections were lost.
 	lostTimer timer
 }
 
@@ -100,60 +102,61 @@
 func New(cfg Config) *Part {
 	cfg = cfg.withDefaults()
 	p := &Part{
-		cfg:       cfg,
-		timers:    newTimers(),
-		peers:     map[core.HostID]*peer{},
-		lost:      map[core.HostID]core.Time{},
-		slots:     map[core.SlotID]*slot{},
-		released:  map[core.SlotID]uint64{},
-		items:     map[string]*item{},
-		pending:   map[uint64]*item{},
-		cached:    map[string]core.Tier{},
-		predictor: newPredictor(cfg.Loads),
-		backlog:   newBacklog(cfg.Limits.QueueCount, cfg.Limits.QueueBytes),
-		runs:      map[core.AttemptID]*job{},
-		attempts:  map[core.AttemptID]*viewer{},
-		past:      newPast(cfg.Limits.PastCount),
-		keyed:     map[jobKey]*job{},
-		reportNow: true,
+		cfg:                 cfg,
+		timers:              newTimers(),
+		peers:               map[core.HostID]*peer{},
+		lostEntries:         map[core.HostID]core.Time{},
+		slots:               map[core.SlotID]*slot{},
+		releasedGenerations: map[core.SlotID]uint64{},
+		items:               map[string]*item{},
+		pending:             map[uint64]*item{},
+		cached:              map[string]core.Tier{},
+		predictor:           newPredictor(cfg.Loads),
+		backlog:             newBacklog(cfg.Limits.QueueCount, cfg.Limits.QueueBytes),
+		runs:                map[core.AttemptID]*job{},
+		attempts:            map[core.AttemptID]*subscriber{},
+		past:                newPast(cfg.Limits.PastCount),
+		keyed:               map[jobKey]*job{},
+		reportNow:           true,
 	}
-	p.prefetch.tried = map[string]core.Time{}
-	p.prefetch.timer.fire = p.lookAhead
-	p.prefetch.begin.fire = p.orderPrefetch
-	p.permits.loads = map[uint64]notice{}
+	p.prefetch.nextTry = map[string]core.Time{}
+	p.prefetch.timer.fire = p.planPrefetch
+	p.prefetch.beginTimer.fire = p.orderPrefetch
+	p.permits.loads = map[uint64]permit{}
 	if cfg.Idle == nil {
-		p.priced = idle.New(defaultPrices(), p.idleCost)
-		p.cfg.Idle = p.priced
+		p.pricedPolicy = idle.New(defaultPrices(), p.idleCost)
+		p.cfg.Idle = p.pricedPolicy
 	}
 	p.tenure.sent = map[uint64]core.Time{}
-	p.inventory.again, p.inventory.dropped = core.Never, map[string]bool{}
-	p.tenure.ending.fire = p.markAll
-	p.inventory.timer.fire = p.takeInventory
+	p.inventory.repeatAt, p.inventory.dropped = core.Never, map[string]bool{}
+	p.tenure.endingTimer.fire = p.markAllDirty
+	p.inventory.timer.fire = p.requestInventory
 	p.statusTimer.fire = func() {}
 	p.reportTimer.fire = func() { p.reportNow = true }
-	p.leaveTimer.fire = p.leaveOver
-	p.noteTimer.fire = func() {}
-	p.partTimer.fire = func() {}
+	p.leaveTimer.fire = p.leaveExpired
+	p.releaseAckTimer.fire = func() {}
+	p.leaveAckTimer.fire = func() {}
 	p.lostTimer.fire = func() {}
-	p.leftoverTimer.fire = func() { p.foreignDirty = true }
+	p.foreignTimer.fire = func() { p.foreignDirty = true }
 	if cfg.Kind == core.BackendService {
 		p.service = p.newService()
 	}
 	return p
 }
 
-// newService returns the one place of a plain service, always loaded.
+// newService returns the single slot of a plain service, which counts as always
+// loaded.
 func (p *Part) newService() *slot {
 	s := &slot{service: true, ready: newFairQueue(), drainUntil: core.Never}
-	s.cut.fire = func() { p.cutRunning(s) }
+	s.cutTimer.fire = func() { p.cutRunning(s) }
 	s.base = p.newTarget(s, p.cfg.Service, false)
 	s.targets = []*target{s.base}
 	return s
 }
 
-// Step implements core.Part. Timers that are due fire first, so that an event
-// that is handled late, after a pause of the process, meets a state that knows
-// how late it is: a tenure that is over, a deadline that has passed.
+// Step implements core.Part. Due timers fire before the event is processed, so
+// that an event that is processed late, after a pause of the process, meets an
+// up-to-date state: an expired tenure or a passed deadline.
 func (p *Part) Step(now core.Time, event core.Event) []core.Effect {
 	p.now = now
 	if p.exited {
@@ -165,7 +168,7 @@
 	p.timers.run(now)
 	if !p.exited {
 		p.handle(event)
-		p.settle()
+		p.reconcileAll()
 	}
 	out := p.out
 	p.out = nil
@@ -187,7 +190,7 @@
 	case core.Stop:
 		p.leave(ev.Limit)
 	case core.Inventory:
-		p.takeStock(ev)
+		p.handleInventory(ev)
 	case core.OrderDone:
 		p.orderDone(ev)
 	case core.EngineLoad:
@@ -206,16 +209,16 @@
 	case core.PermitGrant:
 		p.permitGranted(from, m)
 	case core.Start:
-		p.uses(from)
+		p.markUsed(from)
 		p.startRequest(from, m)
 	case core.Credit:
 		p.credit(from, m)
 	case core.Cancel:
 		p.cancel(m)
 	case core.Leaving:
-		p.parted(from)
+		p.leavingAcked(from)
 	case core.Resume:
-		p.uses(from)
+		p.markUsed(from)
 		p.resume(from, m)
 	}
 }
--- a/internal/core/agent/past.go
+++ b/internal/core/agent/past.go
@@ -7,11 +7,11 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// pastAttempt remembers an attempt that is over.
+// pastAttempt is the record of an attempt that has ended.
 type pastAttempt struct {
 	attempt core.AttemptID
-	// ran is set when the attempt was handed to the backend server. Without
-	// it the record is a tombstone: the attempt did not run and never will.
+	// ran is set if the attempt was passed to the backend server. Otherwise the
+	// record is a tombstone: the attempt did not run and never will.
 	ran bool
 	// refusal is the code of a tombstone.
 	refusal code.Code
@@ -19,29 +19,31 @@
 	pos     int
 }
 
-// past is the bounded memory of attempts that are over.
+// past holds a limited number of records of ended attempts.
 //
-// It guards against two lies. First, an attempt that was answered "not run"
-// must never run: a tombstone refuses it. Second, an attempt that ran and was
-// forgotten must not be answered NotStarted, or its entry runs it again.
+// It prevents two wrong answers. First, an attempt that was answered "not run"
+// must never run: its tombstone refuses it. Second, an attempt that ran and
+// whose job was dropped must not be answered NotStarted, because its entry
+// would then run it again.
 //
-// Bound in time: an entry asks about an attempt only while its caller waits.
-// The deadline noted here is counted from the receipt of Remaining, so it is
-// not before the entry's own; a record lives until pastSlack after it. Start
-// and Resume of one attempt can't cross: messages of a connection arrive in
-// order, and none of an older connection arrives after the newer one's PeerUp,
-// so a Start that was sent before a Resume is here before it or was lost.
+// Limit in time: an entry asks about an attempt only while its caller waits.
+// The deadline recorded here is counted from the receipt of Remaining, so it is
+// not before the deadline of the entry; a record is kept until pastMargin after
+// it. Start and Resume of one attempt can't overtake each other: messages of a
+// connection arrive in order, and none of an older connection arrives after the
+// PeerUp of the newer one, so a Start that was sent before a Resume has arrived
+// before it or was lost.
 //
-// Bound in count: when the memory is full the record that expires first is
+// Limit in count: when the limit is exceeded, the record that expires first is
 // dropped, and until its expiry an unknown attempt is answered "outcome
-// unknown" instead of NotStarted. So being full costs a truthful answer, never
-// a false one.
+// unknown" instead of NotStarted. So exceeding the limit makes an answer less
+// precise but never wrong.
 type past struct {
 	limit   int
 	records map[core.AttemptID]*pastAttempt
 	expiry  heap[*pastAttempt]
-	// unsureUntil is the latest expiry of a record dropped early.
-	unsureUntil core.Time
+	// incompleteUntil is the latest expiry of a record that was dropped early.
+	incompleteUntil core.Time
 }
 
 func newPast(limit int) past {
@@ -51,19 +53,19 @@
 	}}
 }
 
-// add remembers an attempt until pastSlack after its deadline.
+// add records an attempt until pastMargin after its deadline.
 func (ps *past) add(now core.Time, a pastAttempt, deadline core.Time) {
 	ps.expire(now)
 	if old := ps.records[a.attempt]; old != nil {
 		ps.drop(old)
 	}
-	a.expires = max(now, deadline).Add(pastSlack)
+	a.expires = max(now, deadline).Add(pastMargin)
 	record := &a
 	ps.records[a.attempt] = record
 	ps.expiry.push(record)
 	if ps.expiry.len() > ps.limit {
 		oldest := ps.expiry.top()
-		ps.unsureUntil = max(ps.unsureUntil, oldest.expires)
+		ps.incompleteUntil = max(ps.incompleteUntil, oldest.expires)
 		ps.drop(oldest)
 	}
 }
@@ -81,9 +83,9 @@
 
 func (ps *past) find(a core.AttemptID) *pastAttempt { return ps.records[a] }
 
-// sure reports whether an attempt without a record certainly never started.
-func (ps *past) sure(now core.Time) bool { return now >= ps.unsureUntil }
+// complete reports whether an attempt without a record certainly never started.
+func (ps *past) complete(now core.Time) bool { return now >= ps.incompleteUntil }
 
-// buryFor returns the deadline to note for a tombstone of an attempt whose
-// deadline is not known.
-func buryFor(now core.Time) core.Time { return now.Add(10 * time.Minute) }
+// tombstoneDeadline returns the deadline to record in a tombstone of an attempt
+// whose deadline is not known.
+func tombstoneDeadline(now core.Time) core.Time { return now.Add(10 * time.Minute) }
--- a/internal/core/agent/predict.go
+++ b/internal/core/agent/predict.go
@@ -7,16 +7,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// LoadPriors predict the duration of a load until loads were measured.
+// LoadPriors predicts the duration of a load until loads have been measured.
 type LoadPriors struct {
-	// Overhead is the part of a load that does not depend on the size.
+	// Overhead is the part of the duration that does not depend on the size.
 	Overhead time.Duration
-	// Rates from memory, local disk and the weight store, in MiB/s.
+	// Rates of loads from host memory, local disk and the weight store, in
+	// MiB/s.
 	MemoryRate, DiskRate, RemoteRate float64
 }
 
-// DefaultLoadPriors returns rates of a current host. They are on the fast side
-// on purpose: a pessimistic prior refuses the very loads it would learn from.
+// DefaultLoadPriors returns the rates of a current host. They are deliberately
+// optimistic: with pessimistic rates the agent would refuse the loads that it
+// has to measure.
 func DefaultLoadPriors() LoadPriors {
 	return LoadPriors{
 		Overhead:   200 * time.Millisecond,
@@ -35,24 +37,25 @@
 	return l.Overhead + time.Duration(float64(mib)/rate*float64(time.Second))
 }
 
-// learnRate is the weight of the newest measurement in the moving averages.
-const learnRate = 0.3
+// smoothing is the weight of the newest measurement in the moving averages.
+const smoothing = 0.3
 
-// waitMargin: a wait may take longer than predicted by one part in so many
-// without making an admitted request late.
+// waitMargin divides a predicted wait to get the time by which the wait may
+// exceed the prediction without delaying an admitted request past its deadline.
 const waitMargin = 4
 
-// firstRunAverage is the assumed duration of a request before one was measured.
-const firstRunAverage = time.Second
+// defaultRunTime is the assumed duration of a run before one has been measured.
+const defaultRunTime = time.Second
 
-// loadClass groups loads that are predicted alike: a tier and a power of two
-// of the size.
+// loadClass groups loads with a common prediction: a tier and a power of two of
+// the size.
 type loadClass struct {
 	tier core.Tier
 	size int
 }
 
-// predictor learns, for each class, the ratio of measured to prior duration.
+// predictor learns, for each class, the ratio of the measured to the prior
+// duration.
 type predictor struct {
 	priors LoadPriors
 	ratio  map[loadClass]float64
@@ -82,7 +85,7 @@
 		p.ratio[class] = sample
 		return
 	}
-	p.ratio[class] = old + learnRate*(sample-old)
+	p.ratio[class] = old + smoothing*(sample-old)
 }
 
 // average is a moving average of durations.
@@ -93,20 +96,21 @@
 		*a = average(d)
 		return
 	}
-	*a += average(learnRate * float64(d-time.Duration(*a)))
+	*a += average(smoothing * float64(d-time.Duration(*a)))
 }
 
 func (a average) value() time.Duration {
 	if a == 0 {
-		return firstRunAverage
+		return defaultRunTime
 	}
 	return time.Duration(a)
 }
 
-// known is value without the assumption.
-func (a average) known() time.Duration { return time.Duration(a) }
+// measured is value without the default: 0 before a run has been measured.
+func (a average) measured() time.Duration { return time.Duration(a) }
 
-// loadTime predicts the load of a checkpoint from its nearest copy.
+// loadTime predicts the duration of the load of a checkpoint from its nearest
+// copy.
 func (p *Part) loadTime(c checkpoint) time.Duration {
 	return p.predictor.predict(p.tier(c.key), c.checkpointMiB)
 }
@@ -118,7 +122,7 @@
 	return core.TierRemote
 }
 
-// readyIn predicts when the target is loaded.
+// readyIn predicts the time until the target is loaded.
 func (p *Part) readyIn(t *target) time.Duration {
 	if t.loaded() {
 		return 0
@@ -138,47 +142,49 @@
 	return load + max(t.retryAt.Sub(p.now), 0)
 }
 
-// finishes tells whether a request that has to wait can be answered whole
-// before its deadline, by the time that others of its kind took.
+// canFinish reports whether a request can be answered completely before its
+// deadline, according to the average run time of its class. A request that need
+// not wait is always tried, because its duration is not known.
 //
-// Failure: under overload the queue is as long as the callers' patience, so
-// each request starts right before its deadline and is cut off; the replica is
-// busy and answers nobody, and goodput falls with the load. Guard: the time to
-// run is kept free when the request is admitted and again when it would run.
-// One that need not wait is always tried: its length is not known.
-func (p *Part) finishes(run average, starts, remaining time.Duration) bool {
-	return starts == 0 || starts+starts/waitMargin+run.known() < remaining
-}
-
-// startsIn predicts when a request of a client account that arrives now starts.
-//
-// Failure: were the whole queue counted, a flood of one client account would have
-// the requests of all others refused at the door, though their turn in the
-// queue is near. Guard: only what the fair queue runs before it is counted.
+// The run time is taken into account both at admission and right before the
+// run. Otherwise, under overload, the queue would grow until each request
+// starts right before its deadline and is cut off; the replica would be busy
+// without completing a request, and goodput would fall as the load rises.
+func (p *Part) canFinish(run average, starts, remaining time.Duration) bool {
+	return starts == 0 || starts+starts/waitMargin+run.measured() < remaining
+}
+
+// startsIn predicts when a request of a client account that arrives now would
+// start. Only the requests that the fair queue runs before it count. If the
+// whole queue counted, a flood of requests from one client account would make
+// the agent refuse requests of all others, although the fair queue would run
+// them soon.
 func (p *Part) startsIn(t *target, c class, account string) time.Duration {
 	s := t.slot
-	parked := s.waitingBefore(c) - s.ready.lenBefore(c)
+	parked := s.waitingUpTo(c) - s.ready.lenUpTo(c)
 	return p.startsBehind(t, c, parked+s.ready.ahead(c, account, p.accountWeight(account)))
 }
 
-// startsLast predicts the start of an interactive request behind all others.
+// startsLast predicts the start of an interactive request behind all waiting
+// ones.
 func (p *Part) startsLast(t *target) time.Duration {
-	return p.startsBehind(t, classInteractive, t.slot.waitingBefore(classInteractive))
+	return p.startsBehind(t, classInteractive, t.slot.waitingUpTo(classInteractive))
 }
 
-// startsFirst predicts the start of an interactive request of a client account that
-// has none waiting.
+// startsFirst predicts the start of an interactive request of a client account
+// that has none waiting.
 func (p *Part) startsFirst(t *target) time.Duration {
 	return p.startsIn(t, classInteractive, "")
 }
 
-// startsBehind predicts the start behind so many waiting requests. Places that
-// batch work gives up at once don't count as taken for interactive requests.
+// startsBehind predicts the start of a request behind the given number of
+// waiting requests. Batch runs that can be preempted at once don't occupy
+// capacity for interactive requests.
 func (p *Part) startsBehind(t *target, c class, ahead int) time.Duration {
 	s := t.slot
 	limit := p.concurrency(s)
 	var queued time.Duration
-	if s.taken(c)+ahead >= limit {
+	if s.occupied(c)+ahead >= limit {
 		queued = s.runTime[c].value() * time.Duration(ahead+1) / time.Duration(limit)
 	}
 	return p.readyIn(t) + queued
--- a/internal/core/agent/yield_test.go
+++ b/internal/core/agent/preempt_test.go
@@ -12,30 +12,31 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// contest is a loaded model with two places that client accounts contend for.
-type contest struct {
-	t       *rapid.T
-	script  script
-	starts  map[core.AttemptID]core.Start
-	running []core.AttemptID
-	broken  map[core.AttemptID]bool // a CancelRun is on its way
-	ran     map[core.AttemptID]bool
-	tokens  map[core.AttemptID]uint64
-	ends    map[core.AttemptID]int
-	exited  bool
+// contention simulates a loaded model with a concurrency limit of two, for
+// which client accounts compete.
+type contention struct {
+	t         *rapid.T
+	script    script
+	starts    map[core.AttemptID]core.Start
+	running   []core.AttemptID
+	cancelled map[core.AttemptID]bool // a CancelRun was emitted
+	ran       map[core.AttemptID]bool
+	tokens    map[core.AttemptID]uint64
+	ends      map[core.AttemptID]int
+	exited    bool
 }
 
-const contestPlaces = 2
+const contentionLimit = 2
 
-func newContest(t *rapid.T) *contest {
-	c := &contest{
-		t: t, starts: map[core.AttemptID]core.Start{}, broken: map[core.AttemptID]bool{},
+func newContention(t *rapid.T) *contention {
+	c := &contention{
+		t: t, starts: map[core.AttemptID]core.Start{}, cancelled: map[core.AttemptID]bool{},
 		ran: map[core.AttemptID]bool{}, tokens: map[core.AttemptID]uint64{}, ends: map[core.AttemptID]int{},
 	}
 	s := &c.script
-	s.create(words{})
+	s.create(scriptLine{})
 	s.snapshot.Models["small"] = &api.Model{Metadata: api.Metadata{Name: "small"}, Spec: api.ModelSpec{
-		Version: "v1", MemoryMiB: 1000, Replicas: api.ReplicaLimits{Min: 1, Max: 1}, MaxConcurrent: contestPlaces,
+		Version: "v1", MemoryMiB: 1000, Replicas: api.ReplicaLimits{Min: 1, Max: 1}, MaxConcurrent: contentionLimit,
 	}}
 	s.boot()
 	slot := core.Slot{ID: core.SlotID{Model: "small"}, Owner: "h1", Incarnation: 7, Generation: 1, State: core.SlotOwned}
@@ -46,13 +47,13 @@
 	return c
 }
 
-func (c *contest) step(event core.Event) {
+func (c *contention) step(event core.Event) {
 	for _, effect := range c.script.part.Step(c.script.now, event) {
 		switch e := effect.(type) {
 		case core.Run:
 			c.run(e)
 		case core.CancelRun:
-			c.broken[e.Attempt] = true
+			c.cancelled[e.Attempt] = true
 		case core.Exit:
 			c.exited = true
 		case core.Send:
@@ -61,21 +62,21 @@
 	}
 }
 
-func (c *contest) run(e core.Run) {
+func (c *contention) run(e core.Run) {
 	if c.ran[e.Attempt] && !c.starts[e.Attempt].Idempotent {
-		c.t.Fatalf("%v runs twice and may not be repeated", e.Attempt)
+		c.t.Fatalf("%v runs twice but may not be repeated", e.Attempt)
 	}
 	if e.ResumeFrom != c.tokens[e.Attempt] || len(e.Body) == 0 {
-		c.t.Fatalf("%v goes on from %d, has %d, body of %d", e.Attempt, e.ResumeFrom, c.tokens[e.Attempt], len(e.Body))
+		c.t.Fatalf("%v resumed from token %d, want %d; body of %d bytes", e.Attempt, e.ResumeFrom, c.tokens[e.Attempt], len(e.Body))
 	}
 	c.ran[e.Attempt] = true
 	c.running = append(c.running, e.Attempt)
-	if len(c.running) > contestPlaces {
-		c.t.Fatalf("%d run", len(c.running))
+	if len(c.running) > contentionLimit {
+		c.t.Fatalf("%d requests run at the same time", len(c.running))
 	}
 }
 
-func (c *contest) sent(message core.Message) {
+func (c *contention) sent(message core.Message) {
 	switch m := message.(type) {
 	case core.Rejected:
 		if c.ran[m.Attempt] {
@@ -89,9 +90,9 @@
 	}
 }
 
-func (c *contest) arrive(t *rapid.T) {
+func (c *contention) arrive(t *rapid.T) {
 	if c.exited {
-		t.Skip("the process is gone")
+		t.Skip("the agent has exited")
 	}
 	a := attemptOf(uint64(len(c.starts)+1), 1)
 	m := core.Start{
@@ -106,7 +107,7 @@
 	c.step(core.Received{From: "e1", Message: m})
 }
 
-func (c *contest) token(t *rapid.T) {
+func (c *contention) token(t *rapid.T) {
 	if len(c.running) == 0 {
 		t.Skip("nothing runs")
 	}
@@ -116,8 +117,8 @@
 	c.step(core.RunProgress{Attempt: a, Kind: core.FrameData, Count: 1, Payload: []byte("x")})
 }
 
-// end ends a run: one that is being broken off may yet end by itself.
-func (c *contest) end(t *rapid.T) {
+// end ends a run; one that is being cancelled may still end by itself.
+func (c *contention) end(t *rapid.T) {
 	if len(c.running) == 0 {
 		t.Skip("nothing runs")
 	}
@@ -125,20 +126,20 @@
 	c.endWith(a, rapid.SampledFrom([]code.Code{code.OK, code.Cancelled, code.BackendFailed}).Draw(t, "code"))
 }
 
-func (c *contest) endWith(a core.AttemptID, result code.Code) {
-	if result == code.Cancelled && !c.broken[a] {
+func (c *contention) endWith(a core.AttemptID, result code.Code) {
+	if result == code.Cancelled && !c.cancelled[a] {
 		result = code.OK
 	}
-	delete(c.broken, a)
+	delete(c.cancelled, a)
 	c.running = slices.DeleteFunc(c.running, func(o core.AttemptID) bool { return o == a })
 	c.step(core.RunProgress{Attempt: a, Kind: core.FrameEnd, Code: result})
 }
 
-func (c *contest) wait(t *rapid.T) {
+func (c *contention) wait(t *rapid.T) {
 	c.until(c.script.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond))
 }
 
-func (c *contest) until(end core.Time) {
+func (c *contention) until(end core.Time) {
 	for c.script.part.Next() <= end {
 		c.script.now = max(c.script.now, c.script.part.Next())
 		c.step(core.Tick{})
@@ -146,8 +147,8 @@
 	c.script.now = end
 }
 
-// settle lets everything that was sent come to its end.
-func (c *contest) settle() {
+// finishAll runs until all started requests have ended.
+func (c *contention) finishAll() {
 	for len(c.running) > 0 {
 		c.endWith(c.running[0], code.Cancelled)
 	}
@@ -157,13 +158,15 @@
 	}
 }
 
-// A big client account, a small one and batch work contend for two places; runs are
-// broken off to make room, go on, fail, run out of time, the agent stops. Each
-// caller gets one end; none that ran hears "not run"; what may not be repeated
-// runs once; what goes on goes on from the token reached.
-func TestContestedPlaces(t *testing.T) {
+// TestPreemptionUnderContention lets two client accounts and batch work compete
+// for a concurrency limit of two, while runs are preempted, resumed, fail or
+// exceed their deadlines, and the agent stops. Each request must get exactly
+// one end, none that ran may be answered "not run", a request that may not be
+// repeated must run once, and a resumed run must continue from the last token
+// received.
+func TestPreemptionUnderContention(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newContest(t)
+		c := newContention(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": c.arrive, "arrive2": c.arrive, "token": c.token, "end": c.end, "wait": c.wait,
 			"stop": func(t *rapid.T) {
@@ -172,10 +175,10 @@
 				}
 			},
 		})
-		c.settle()
-		for a := range c.starts { // a check of each: order has no effect
+		c.finishAll()
+		for a := range c.starts { // the order of the checks has no effect
 			if c.ends[a] != 1 {
-				t.Fatalf("%v has %d ends", a, c.ends[a])
+				t.Fatalf("%v got %d ends", a, c.ends[a])
 			}
 		}
 	})
--- a/internal/core/agent/prefetch.go
+++ b/internal/core/agent/prefetch.go
@@ -10,53 +10,56 @@
 )
 
 const (
-	// prefetchPause is the time between two looks for something to prefetch.
+	// prefetchPause is the time between two checks for something to prefetch.
 	prefetchPause = 10 * time.Second
 	// prefetchRetry is the wait after a prefetch that failed.
 	prefetchRetry = 5 * time.Minute
-	// permitPatience is how long an asked permit is awaited before the agent
-	// asks again.
-	permitPatience = 10 * time.Minute
-	// prefetchDeadline orders background reads at the steward: those for the
-	// first slot of an interactive model before the rest.
+	// permitTimeout is how long the agent waits for a requested permit before
+	// it sends a new request.
+	permitTimeout = 10 * time.Minute
+	// prefetchDeadline is sent with permit requests, by whose deadlines the
+	// steward orders background reads: those for the first slot of an
+	// interactive model get half of it and come before the others.
 	prefetchDeadline = time.Hour
 )
 
-// prefetchState is the one prefetch that an agent has under way. Slots have
-// their place while the model is idle, so the host that will load a model is
-// known before its first request; its checkpoint can be near by then.
+// prefetchState is the single prefetch that an agent has in progress. Slots are
+// assigned even while the model is idle, so the host that will load a model is
+// known before its first request, and the checkpoint can be on its disk by
+// then.
 type prefetchState struct {
 	slot  *slot
 	key   string
 	order uint64
-	// permit is the sequence of the permit that is asked for or held.
+	// permit is the sequence number of the permit that is requested or held.
 	permit  uint64
 	steward core.HostID
 	timer   timer
-	// granted is set between the permit and the order; begin fires then.
-	granted bool
-	begin   timer
-	// tried remembers when a key may be prefetched (again).
-	//
-	// Failure: the local disk is too small for all that the agent owns; each
-	// prefetch evicts another checkpoint, which is prefetched next, and the
-	// store is busy for ever. Guard: a key is prefetched once.
-	tried map[string]core.Time
-}
-
-// permitState counts the permits asked for.
+	// granted is set from the permit to the end of the prefetch; beginTimer
+	// fires when the prefetch may be ordered.
+	granted    bool
+	beginTimer timer
+	// nextTry holds the earliest time at which a key may be prefetched again;
+	// core.Never after a prefetch that was ordered, unless it failed. If a key
+	// were prefetched more than once and the local disk were too small for all
+	// that the agent owns, each prefetch would evict another checkpoint, which
+	// would be prefetched next, and the store would be busy permanently.
+	nextTry map[string]core.Time
+}
+
+// permitState tracks the permits requested by this agent.
 type permitState struct {
 	count uint64
-	// loads are the permits of loads under way, by order.
-	loads map[uint64]notice
+	// loads holds the permits of loads in progress, by order ID.
+	loads map[uint64]permit
 }
 
-type notice struct {
+type permit struct {
 	steward  core.HostID
 	sequence uint64
 }
 
-// steward returns a connected steward, or "".
+// steward returns the first connected steward, or "".
 func (p *Part) steward() core.HostID {
 	for _, host := range p.peerOrder {
 		if p.peers[host].steward {
@@ -66,7 +69,7 @@
 	return ""
 }
 
-func (p *Part) askPermit(priority api.Priority, remaining time.Duration, key string) notice {
+func (p *Part) requestPermit(priority api.Priority, remaining time.Duration, key string) permit {
 	steward := p.steward()
 	p.permits.count++
 	if steward != "" {
@@ -74,18 +77,18 @@
 			Sequence: p.permits.count, Priority: priority, Remaining: remaining, Key: key,
 		})
 	}
-	return notice{steward: steward, sequence: p.permits.count}
+	return permit{steward: steward, sequence: p.permits.count}
 }
 
-// noteLoad tells the steward of a load from the store that callers wait for,
-// so that background reads leave it the lanes.
-func (p *Part) noteLoad(it *item) {
+// announceLoad reports a load from the weight store that callers wait for to
+// the steward, so that background reads leave store lanes free for it.
+func (p *Part) announceLoad(it *item) {
 	if it.tier == core.TierRemote {
-		p.permits.loads[it.order] = p.askPermit(api.PriorityInteractive, 0, it.key)
+		p.permits.loads[it.order] = p.requestPermit(api.PriorityInteractive, 0, it.key)
 	}
 }
 
-func (p *Part) noteLoadEnd(order uint64) {
+func (p *Part) announceLoadEnd(order uint64) {
 	n, ok := p.permits.loads[order]
 	if ok {
 		delete(p.permits.loads, order)
@@ -93,12 +96,12 @@
 	}
 }
 
-// lookAhead asks for a permit if a checkpoint should be brought near.
-func (p *Part) lookAhead() {
+// planPrefetch requests a permit if a checkpoint should be prefetched.
+func (p *Part) planPrefetch() {
 	f := &p.prefetch
 	p.timers.set(&f.timer, p.now.Add(prefetchPause))
 	if f.slot != nil {
-		p.endPrefetch() // no permit came in time
+		p.endPrefetch() // no permit arrived in time
 	}
 	s := p.nextPrefetch()
 	if s == nil || p.steward() == "" {
@@ -109,15 +112,16 @@
 	if p.prefetchRank(s) == 0 {
 		deadline /= 2
 	}
-	n := p.askPermit(api.PriorityBatch, deadline, f.key)
+	n := p.requestPermit(api.PriorityBatch, deadline, f.key)
 	f.steward, f.permit = n.steward, n.sequence
-	p.timers.set(&f.timer, p.now.Add(permitPatience))
+	p.timers.set(&f.timer, p.now.Add(permitTimeout))
 }
 
-// nextPrefetch returns the slot whose checkpoint is to be brought near next.
+// nextPrefetch returns the slot whose checkpoint is to be prefetched next, or
+// nil.
 func (p *Part) nextPrefetch() *slot {
 	var best *slot
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		if p.wantsPrefetch(s) && (best == nil || p.prefetchBefore(s, best)) {
 			best = s
 		}
@@ -130,11 +134,12 @@
 		return false
 	}
 	c := p.checkpointOf(s.base)
-	return c.key != "" && p.tier(c.key) == core.TierRemote && p.now >= p.prefetch.tried[c.key]
+	return c.key != "" && p.tier(c.key) == core.TierRemote && p.now >= p.prefetch.nextTry[c.key]
 }
 
-// prefetchRank orders slots: the first of an interactive model, which cold
-// starts go to, then others of interactive models, then batch models.
+// prefetchRank orders slots: the first slot of an interactive model, which
+// receives its cold starts, then other slots of interactive models, then slots
+// of batch models.
 func (p *Part) prefetchRank(s *slot) int {
 	rank := min(int(s.id.Index), 1)
 	if m := p.snapshot.Models[s.id.Model]; m != nil && m.Spec.Priority == api.PriorityBatch {
@@ -150,7 +155,7 @@
 	) < 0
 }
 
-// permitGranted starts the prefetch that the permit was asked for.
+// permitGranted schedules the prefetch that the permit was requested for.
 func (p *Part) permitGranted(from core.HostID, m core.PermitGrant) {
 	f := &p.prefetch
 	if f.slot == nil || f.granted || from != f.steward || m.Sequence != f.permit {
@@ -159,7 +164,7 @@
 	}
 	p.timers.stop(&f.timer)
 	f.granted = true
-	p.timers.set(&f.begin, p.now.Add(m.StartIn))
+	p.timers.set(&f.beginTimer, p.now.Add(m.StartIn))
 }
 
 func (p *Part) orderPrefetch() {
@@ -172,27 +177,27 @@
 	}
 	p.orderCount++
 	f.order = p.orderCount
-	f.tried[f.key] = core.Never
+	f.nextTry[f.key] = core.Never
 	p.emit(core.Order{
 		ID: f.order, Kind: core.OrderPrefetch, Key: c.key, CheckpointMiB: c.checkpointMiB,
 		Fence: f.slot.generation, NotAfter: p.now.Add(p.cfg.Timings.OrderValidity),
 	})
 }
 
-// prefetchDone handles the engine's answer and looks for the next.
+// prefetchDone processes the answer of the engine and plans the next prefetch.
 func (p *Part) prefetchDone(done core.OrderDone) {
 	f := &p.prefetch
 	p.countCode(prefetchesTotal, done.Code)
 	if done.Code == code.OK {
-		p.cache(f.key, core.TierDisk)
+		p.recordCached(f.key, core.TierDisk)
 	} else {
-		f.tried[f.key] = p.now.Add(prefetchRetry)
+		f.nextTry[f.key] = p.now.Add(prefetchRetry)
 	}
 	p.endPrefetch()
 	p.timers.set(&f.timer, p.now)
 }
 
-// endPrefetch gives the permit back.
+// endPrefetch returns the permit to the steward and clears the prefetch.
 func (p *Part) endPrefetch() {
 	p.send(p.prefetch.steward, core.PermitDone{Sequence: p.prefetch.permit})
 	p.forgetPrefetch()
@@ -203,8 +208,8 @@
 	f.slot, f.key, f.order, f.permit, f.steward, f.granted = nil, "", 0, 0, "", false
 }
 
-// permitLost gives up a permit that a lost steward was asked for. A read that
-// has begun goes on.
+// permitLost drops the request for a permit when the connection to the steward
+// that it was sent to is lost. A prefetch whose permit was granted continues.
 func (p *Part) permitLost(steward core.HostID) {
 	f := &p.prefetch
 	if f.slot == nil || f.granted || f.steward != steward {
--- a/internal/core/agent/price.go
+++ b/internal/core/agent/price.go
@@ -5,37 +5,40 @@
 	"nutmeglane.example/nutmeglane/internal/core/idle"
 )
 
-// defaultPrices hold until the first configuration is in force.
+// defaultPrices returns the prices that apply until the first configuration is
+// in force.
 func defaultPrices() idle.Prices {
 	return idle.Prices{ColdSecond: api.DefaultColdStartPrice, IdleHour: api.DefaultIdleHourPrice}
 }
 
-// price takes over the prices of the configuration in force and forgets the
-// histories of resources that were deleted.
-func (p *Part) price() {
-	if p.priced == nil || p.snapshot.Deployment == nil {
+// updatePrices sets the prices of the configuration in force and drops the
+// request histories of deleted resources.
+func (p *Part) updatePrices() {
+	if p.pricedPolicy == nil || p.snapshot.Deployment == nil {
 		return
 	}
-	p.priced.SetPrices(idle.Prices{
+	p.pricedPolicy.SetPrices(idle.Prices{
 		ColdSecond: p.snapshot.Deployment.ColdStartPrice,
 		IdleHour:   p.snapshot.Deployment.IdleHourPrice,
 	})
-	p.priced.Retain(func(key string) bool {
+	p.pricedPolicy.Retain(func(key string) bool {
 		name, _ := splitKey(key)
 		return p.snapshot.Models[name] != nil || p.snapshot.Adapters[name] != nil
 	})
 }
 
-// batchWeight is what a second of a batch model's cold start counts, as a part
-// of the declared price: nobody stands waiting for an overnight job.
+// batchWeight is the factor applied to the declared price of a second of cold
+// start for batch models, because no caller waits interactively for their
+// answers.
 const batchWeight = 0.1
 
-// idleCost tells the idle policy what a key holds while loaded and how long
-// its next load would take from where it is cached now.
+// idleCost returns to the idle policy the share of memory that a key takes
+// while loaded and the predicted duration of its next load from where it is
+// cached now.
 func (p *Part) idleCost(key string) idle.Cost {
-	c := p.checkpointNamed(key)
+	c := p.checkpointByKey(key)
 	weight := 1.0
-	if p.batchNamed(key) {
+	if p.isBatchKey(key) {
 		weight = batchWeight
 	}
 	return idle.Cost{
@@ -45,7 +48,7 @@
 	}
 }
 
-func (p *Part) batchNamed(key string) bool {
+func (p *Part) isBatchKey(key string) bool {
 	name, _ := splitKey(key)
 	if p.snapshot == nil {
 		return false
@@ -57,8 +60,8 @@
 	return a != nil && a.Spec.Priority == api.PriorityBatch
 }
 
-// checkpointNamed returns the sizes of a declared model's or adapter's key.
-func (p *Part) checkpointNamed(key string) checkpoint {
+// checkpointByKey returns the declared sizes of the model or adapter of a key.
+func (p *Part) checkpointByKey(key string) checkpoint {
 	name, _ := splitKey(key)
 	if p.snapshot == nil {
 		return checkpoint{key: key}
--- a/internal/core/agent/price_test.go
+++ b/internal/core/agent/price_test.go
@@ -8,9 +8,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// An operator raises the price of cold starts. If agents went on with the old
-// price until their restart, callers would still meet unloaded models hours
-// after the change was in force.
+// Guards against agents that use the old cold start price until their restart:
+// after an operator raises the price, requests would still meet unloaded models
+// hours after the change was in force.
 func TestPricesFollowTheConfiguration(t *testing.T) {
 	p := New(Config{Host: "h", Kind: core.BackendEngine})
 	now := core.Time(0)
@@ -32,10 +32,10 @@
 		p.cfg.Idle.Arrival(now, "m@1")
 	}
 	if kept := p.cfg.Idle.KeepUntil(now, "m@1").Sub(now); kept > 9*time.Minute {
-		t.Errorf("cheap cold starts keep a model %v over gaps of 10 min", kept)
+		t.Errorf("with cheap cold starts a model with a request every 10 min is kept for %v", kept)
 	}
 	configure(2, 100)
 	if kept := p.cfg.Idle.KeepUntil(now, "m@1").Sub(now); kept < 10*time.Minute {
-		t.Errorf("dear cold starts keep a model only %v over gaps of 10 min", kept)
+		t.Errorf("with expensive cold starts a model with a request every 10 min is kept for only %v", kept)
 	}
 }
--- a/internal/core/agent/property_test.go
+++ b/internal/core/agent/property_test.go
@@ -12,21 +12,21 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-func (w *world) pick(label string, n int) int { return rapid.IntRange(0, n-1).Draw(w.t, label) }
+func (w *simulation) pick(label string, n int) int { return rapid.IntRange(0, n-1).Draw(w.t, label) }
 
-func (w *world) pickOrder() *fakeOrder {
+func (w *simulation) pickOrder() *fakeOrder {
 	if len(w.orders) == 0 {
 		w.t.Skip("no order under way")
 	}
 	return w.orders[w.pick("order", len(w.orders))]
 }
 
-func (w *world) model() string { return []string{"a", "b", "c"}[w.pick("model", 3)] }
+func (w *simulation) model() string { return []string{"a", "b", "c"}[w.pick("model", 3)] }
 
-func (w *world) request() {
+func (w *simulation) request() {
 	w.requests++
 	id := w.requests
-	if old := uint64(1 + w.pick("id", int(4*w.requests))); old < id && w.deadlines[old].Add(pastSlack) > w.now {
+	if old := uint64(1 + w.pick("id", int(4*w.requests))); old < id && w.deadlines[old].Add(pastMargin) > w.now {
 		id = old // a duplicate
 	}
 	name := w.model()
@@ -44,7 +44,7 @@
 	w.step(core.Received{From: "e", Message: m})
 }
 
-func (w *world) endRun() {
+func (w *simulation) endRun() {
 	if len(w.running) == 0 {
 		w.t.Skip("nothing runs")
 	}
@@ -58,7 +58,7 @@
 	w.step(core.RunProgress{Attempt: a, Kind: core.FrameEnd, Code: result})
 }
 
-func (w *world) restartEngine() {
+func (w *simulation) restartEngine() {
 	clear(w.held)
 	w.role = core.EngineServing
 	for _, o := range slices.Clone(w.orders) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (w *world) changeVersion() {
+func (w *simulation) changeVersion() {
 	next := *w.snapshot
 	next.Revision++
 	next.Models = map[string]*api.Model{}
@@ -83,20 +83,20 @@
 	w.step(core.ConfigInForce{Snapshot: w.snapshot})
 }
 
-func (w *world) takeInventory() {
-	if !w.asked {
+func (w *simulation) takeInventory() {
+	if !w.inventoryRequested {
 		w.t.Skip("not asked")
 	}
-	items := w.askedAt
+	items := w.itemsAtRequest
 	if w.pick("fresh", 2) == 1 {
 		items = w.items()
 	}
-	w.asked = false
-	w.shownRole = w.role
+	w.inventoryRequested = false
+	w.reportedRole = w.role
 	w.step(core.Inventory{MemoryMiB: fakeMemory, Items: items, Role: w.role})
 }
 
-func (w *world) writeGrant() core.Grant {
+func (w *simulation) writeGrant() core.Grant {
 	g := core.Grant{Sequence: w.reports, Incarnation: w.inc, Tenure: time.Minute}
 	for _, name := range core.SortedKeys(w.table) {
 		g.Slots = append(g.Slots, w.table[name])
@@ -104,19 +104,19 @@
 	return g
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	do := func(f func()) func(*rapid.T) { return func(*rapid.T) { f() } }
 	return map[string]func(*rapid.T){
 		"tick":    do(func() { w.advance(time.Duration(w.pick("ms", 4000)) * time.Millisecond) }),
 		"pause":   do(func() { w.now = w.now.Add(time.Duration(w.pick("s", 80)) * time.Second); w.expire() }),
 		"grant":   do(func() { w.deliver(w.writeGrant()) }),
 		"grant2":  do(func() { w.advance(5 * time.Second); w.deliver(w.writeGrant()) }),
-		"write":   do(func() { w.late = append(w.late, w.writeGrant()) }),
+		"write":   do(func() { w.delayedGrants = append(w.delayedGrants, w.writeGrant()) }),
 		"request": do(w.request), "request2": do(w.request), "request3": do(w.request),
 		"late": do(func() {
-			if len(w.late) > 0 {
-				w.deliver(w.late[0])
-				w.late = w.late[1:]
+			if len(w.delayedGrants) > 0 {
+				w.deliver(w.delayedGrants[0])
+				w.delayedGrants = w.delayedGrants[1:]
 			}
 		}),
 		"release": do(func() {
@@ -150,8 +150,8 @@
 		}),
 		"version": do(w.changeVersion),
 		"layout":  do(w.changeLayout),
-		"work2":   do(func() { w.work(w.pickOrder()) }),
-		"work":    do(func() { w.work(w.pickOrder()) }),
+		"work2":   do(func() { w.execute(w.pickOrder()) }),
+		"work":    do(func() { w.execute(w.pickOrder()) }),
 		"": func(*rapid.T) {
 			if w.part.reservedMiB > max(w.part.totalMiB, 0) {
 				w.t.Fatalf("reserved %d of %d", w.part.reservedMiB, w.part.totalMiB)
@@ -160,13 +160,12 @@
 	}
 }
 
-// An inspector's model is loaded while the agent's process is paused, its
-// engine restarted, an order's answer lost, a Grant late: whatever comes
-// together, the engine must never run out of accelerator memory, no load may be
-// ordered outside tenure and ownership, and no request may run twice or after
-// it was refused as not run.
+// TestRandomFaults combines pauses of the agent, restarts of the engine and the
+// agent, lost order answers and late Grants at random. The engine must never
+// run out of accelerator memory, no load may be ordered outside tenure and
+// ownership, and no request may run twice or after it was refused as not run.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		t.Repeat(newWorld(t).actions())
+		t.Repeat(newSimulation(t).actions())
 	})
 }
--- a/internal/core/agent/queue.go
+++ b/internal/core/agent/queue.go
@@ -1,6 +1,6 @@
 package agent
 
-// class is the rank of a request's priority; less goes first.
+// class is the rank of the priority of a request; lower ones run first.
 type class uint8
 
 const (
@@ -9,49 +9,50 @@
 	classCount
 )
 
-// shareUnit is the virtual cost of one request of a client account with weight 1.
-const shareUnit = 1 << 20
+// requestCost is the virtual cost of one request of a client account with
+// weight 1.
+const requestCost = 1 << 20
 
-// lane holds one client account's requests that are ready to run, by deadline.
-type lane struct {
+// flow holds the ready requests of one client account, by deadline.
+type flow struct {
 	account string
 	weight  int64
-	// start and finish are the virtual times of the lane's next and of its
-	// last request.
+	// start and finish are the virtual times at which the next request of the
+	// flow starts and its last one finished.
 	start, finish int64
 	jobs          heap[*job]
 	pos           int
 }
 
-// laneSet orders lanes by start-time fair queueing: the lane whose virtual
-// start is earliest goes first and is charged shareUnit/weight. While others
-// wait a client account gets its weight's share and no more, however many requests
-// it sends.
-type laneSet struct {
-	lanes  map[string]*lane
-	active heap[*lane]
+// flowSet implements start-time fair queueing: the flow with the earliest
+// virtual start is served first and is charged requestCost/weight. While
+// several client accounts wait, each gets capacity in proportion to its weight,
+// however many requests it sends.
+type flowSet struct {
+	flows  map[string]*flow
+	active heap[*flow]
 	clock  int64
 	count  int
 }
 
-// fairQueue orders the ready requests of one replica: interactive before
-// batch, then by fair share among client accounts, then by earliest deadline.
+// fairQueue orders the ready requests of one replica: interactive before batch,
+// then by fair share among client accounts, then by earliest deadline.
 type fairQueue struct {
-	sets [classCount]laneSet
+	sets [classCount]flowSet
 }
 
 func newFairQueue() *fairQueue {
 	q := &fairQueue{}
 	for i := range q.sets {
-		q.sets[i] = laneSet{lanes: map[string]*lane{}, active: heap[*lane]{
-			less: laneBefore,
-			pos:  func(l *lane) *int { return &l.pos },
+		q.sets[i] = flowSet{flows: map[string]*flow{}, active: heap[*flow]{
+			less: flowBefore,
+			pos:  func(f *flow) *int { return &f.pos },
 		}}
 	}
 	return q
 }
 
-func laneBefore(a, b *lane) bool {
+func flowBefore(a, b *flow) bool {
 	if a.start != b.start {
 		return a.start < b.start
 	}
@@ -70,8 +71,8 @@
 	return q.sets[classInteractive].count + q.sets[classBatch].count
 }
 
-// lenBefore counts the requests of the classes up to c.
-func (q *fairQueue) lenBefore(c class) int {
+// lenUpTo returns the number of requests of the classes up to and including c.
+func (q *fairQueue) lenUpTo(c class) int {
 	n := 0
 	for i := classInteractive; i <= c; i++ {
 		n += q.sets[i].count
@@ -79,11 +80,12 @@
 	return n
 }
 
-// ahead counts the requests that would run before a new one of a client account.
+// ahead returns the number of requests that would run before a new one of a
+// client account.
 func (q *fairQueue) ahead(c class, account string, weight int64) int {
 	n := q.sets[c].ahead(account, weight)
 	if c > classInteractive {
-		n += q.lenBefore(c - 1)
+		n += q.lenUpTo(c - 1)
 	}
 	return n
 }
@@ -92,7 +94,7 @@
 
 func (q *fairQueue) remove(j *job) { q.sets[j.class].remove(j) }
 
-// pop takes out the request to run next, or returns nil.
+// pop removes and returns the request to run next, or returns nil.
 func (q *fairQueue) pop() *job {
 	for i := range q.sets {
 		if q.sets[i].count > 0 {
@@ -102,76 +104,77 @@
 	return nil
 }
 
-func (s *laneSet) lane(j *job) *lane {
-	l := s.lanes[j.start.ClientAccount]
-	if l == nil {
-		l = &lane{account: j.start.ClientAccount, jobs: heap[*job]{
+func (s *flowSet) flow(j *job) *flow {
+	f := s.flows[j.start.ClientAccount]
+	if f == nil {
+		f = &flow{account: j.start.ClientAccount, jobs: heap[*job]{
 			less: jobBefore,
-			pos:  func(j *job) *int { return &j.lanePos },
+			pos:  func(j *job) *int { return &j.flowPos },
 		}}
-		s.lanes[l.account] = l
+		s.flows[f.account] = f
 	}
-	l.weight = j.weight
-	return l
+	f.weight = j.weight
+	return f
 }
 
-// ahead counts the waiting requests with a virtual start up to the one that a
-// new request of the client account would get: all of its own, and of each other lane
-// as many as its weight earns by then.
-func (s *laneSet) ahead(account string, weight int64) int {
+// ahead returns the number of waiting requests with a virtual start not later
+// than that of a new request of the client account: all of its own, and of each
+// other flow as many as its weight allows until then.
+func (s *flowSet) ahead(account string, weight int64) int {
 	start, n := s.clock, 0
-	if own := s.lanes[account]; own != nil {
+	if own := s.flows[account]; own != nil {
 		n = own.jobs.len()
-		start = max(s.clock, own.finish) + int64(n)*shareUnit/weight
+		start = max(s.clock, own.finish) + int64(n)*requestCost/weight
 	}
-	for _, l := range s.active.items {
-		if l.account != account && l.start <= start {
-			n += min(l.jobs.len(), int((start-l.start)*l.weight/shareUnit)+1)
+	for _, f := range s.active.items {
+		if f.account != account && f.start <= start {
+			n += min(f.jobs.len(), int((start-f.start)*f.weight/requestCost)+1)
 		}
 	}
 	return n
 }
 
-func (s *laneSet) push(j *job) {
-	l := s.lane(j)
-	l.jobs.push(j)
+func (s *flowSet) push(j *job) {
+	f := s.flow(j)
+	f.jobs.push(j)
 	s.count++
-	if l.pos == 0 {
-		l.start = max(s.clock, l.finish)
-		s.active.push(l)
+	if f.pos == 0 {
+		f.start = max(s.clock, f.finish)
+		s.active.push(f)
 		return
 	}
-	s.active.fix(l)
+	s.active.fix(f)
 }
 
-func (s *laneSet) pop() *job { return s.popFrom(s.active.top()) }
+func (s *flowSet) pop() *job { return s.popFrom(s.active.top()) }
 
-func (s *laneSet) popFrom(l *lane) *job {
-	j := l.jobs.pop()
-	s.clock = max(s.clock, l.start)
-	l.finish = l.start + shareUnit/l.weight
-	l.start = l.finish
-	s.taken(l)
+func (s *flowSet) popFrom(f *flow) *job {
+	j := f.jobs.pop()
+	s.clock = max(s.clock, f.start)
+	f.finish = f.start + requestCost/f.weight
+	f.start = f.finish
+	s.afterRemove(f)
 	return j
 }
 
-func (s *laneSet) remove(j *job) {
-	l := s.lanes[j.start.ClientAccount]
-	l.jobs.remove(j)
-	s.taken(l)
+func (s *flowSet) remove(j *job) {
+	f := s.flows[j.start.ClientAccount]
+	f.jobs.remove(j)
+	s.afterRemove(f)
 }
 
-// taken restores the order after a lane lost a request. Virtual times are
-// forgotten once nobody waits, so that lanes don't pile up.
-func (s *laneSet) taken(l *lane) {
+// afterRemove restores the heap order after a request was removed from a flow.
+// Flows and virtual times are reset once no request waits, so that the number
+// of flows does not grow without limit.
+func (s *flowSet) afterRemove(f *flow) {
 	s.count--
-	if l.jobs.len() == 0 {
-		s.active.remove(l)
+	if f.jobs.len() == 0 {
+		s.active.remove(f)
 	} else {
-		s.active.fix(l)
+		s.active.fix(f)
 	}
 	if s.count == 0 {
-		clear(s.lanes)
+		clear(s.flows)
 		s.clock = 0
 	}
 }
--- a/internal/core/agent/reconcile.go
+++ b/internal/core/agent/reconcile.go
@@ -5,8 +5,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// settle brings everything that the step touched to rest.
-func (p *Part) settle() {
+// reconcileAll reconciles foreign items and dirty slots until none is left, and
+// then sends what has changed.
+func (p *Part) reconcileAll() {
 	for len(p.dirty) > 0 || p.foreignDirty {
 		if p.foreignDirty {
 			p.reconcileForeign()
@@ -25,9 +26,9 @@
 	p.flushStatus()
 }
 
-// slotMustGo returns the code with which a slot's waiting requests are refused
-// because the slot is to be given up, or OK.
-func (p *Part) slotMustGo(s *slot) code.Code {
+// drainReason returns the code with which the waiting requests of a slot are
+// refused because the slot has to be drained, or OK.
+func (p *Part) drainReason(s *slot) code.Code {
 	switch {
 	case p.leaving:
 		return code.Draining
@@ -41,62 +42,62 @@
 	return code.OK
 }
 
-// reconcile does the next thing for a slot: give it up, or change, load, run
-// and unload what the configuration and the requests ask for.
+// reconcile performs the next actions for a slot: it drains the slot, or loads,
+// runs and unloads what the configuration and the requests require.
 func (p *Part) reconcile(s *slot) {
 	s.starved = false
-	if reason := p.slotMustGo(s); reason != code.OK {
-		p.giveUp(s, reason)
+	if reason := p.drainReason(s); reason != code.OK {
+		p.drainSlot(s, reason)
 		return
 	}
 	s.drainUntil = core.Never
-	p.timers.stop(&s.cut)
+	p.timers.stop(&s.cutTimer)
 	if s.service {
 		p.dispatch(s)
 		return
 	}
-	p.changeVersions(s)
+	p.unloadOutdated(s)
 	for _, t := range s.targets {
 		p.tryLoad(t)
 		p.unpark(t)
 	}
 	p.dispatch(s)
-	p.watchIdle(s)
-	p.sweepTargets(s)
+	p.updateIdleTimers(s)
+	p.dropUnusedTargets(s)
 }
 
-// giveUp refuses what waits, lets what runs finish within a bound, then
-// unloads, and releases a slot that is not the agent's any more. A slot whose
-// tenure alone ends is kept: the next Grant may renew it.
-func (p *Part) giveUp(s *slot, reason code.Code) {
+// drainSlot refuses the waiting requests, lets the running ones finish within a
+// limit, then unloads, and releases a slot that is not owned any more or whose
+// agent is leaving. A slot that is drained only because the tenure ends is
+// kept: the next Grant may renew the tenure.
+func (p *Part) drainSlot(s *slot, reason code.Code) {
 	for _, t := range s.targets {
 		t.wanted = false
 		p.refuseTarget(t, reason, minRetryAfter)
 	}
 	if limit := p.drainLimit(s); limit < s.drainUntil {
 		s.drainUntil = limit
-		p.timers.set(&s.cut, max(limit, p.now))
+		p.timers.set(&s.cutTimer, max(limit, p.now))
 	}
 	if s.service {
 		return
 	}
 	if len(s.running) > 0 {
-		p.clearIdle(s)
+		p.unloadIdleAdapters(s)
 		return
 	}
 	p.unloadAll(s)
-	if (!s.owned || p.leaving) && p.gone(s) {
+	if (!s.owned || p.leaving) && p.fullyUnloaded(s) {
 		p.release(s)
 	}
 }
 
-// gone reports whether the engine certainly holds nothing of the slot.
-//
-// Failure: right after a restart the slot has no item yet, but the engine
-// still holds what the predecessor loaded for it; releasing the slot then lets
-// the next owner load one replica too many. Guard: no release before the
-// inventory is settled, nor while a foreign checkpoint of the model is held.
-func (p *Part) gone(s *slot) bool {
+// fullyUnloaded reports whether the engine certainly holds nothing of the slot.
+// Right after a restart the slot has no item, but the engine may hold what the
+// predecessor loaded for it; if the slot were released then, the next owner
+// would load one replica too many. So no slot is released before the inventory
+// is settled, or while a foreign checkpoint of the model is held.
+func (p *Part) fullyUnloaded(s *slot) bool {
 	if !p.settled || !s.empty() {
 		return false
 	}
@@ -108,8 +109,8 @@
 	return true
 }
 
-// cutRunning ends the requests that hold up an unload for too long, and a load
-// that is still under way when the tenure is about to end.
+// cutRunning aborts the running requests and pending loads of a slot that have
+// delayed its unload for longer than allowed.
 func (p *Part) cutRunning(s *slot) {
 	for _, j := range s.running {
 		p.cutJob(j)
@@ -119,30 +120,31 @@
 			p.orderUnload(it)
 		}
 	}
-	p.mark(s)
+	p.markDirty(s)
 }
 
-// unload marks a target's item, and all adapters if it is a base, for unload.
+// unload starts the unload of the item of a target, and of all adapters if it
+// is a base.
 func (p *Part) unload(t *target) {
 	if t.item == nil {
 		return
 	}
 	t.item.closing = true
-	p.mark(t.slot)
+	p.markDirty(t.slot)
 	if t.adapter {
-		p.closeItem(t.item)
+		p.requestUnload(t.item)
 		return
 	}
 	p.unloadAll(t.slot)
 }
 
-// unloadAll unloads a slot's adapters, and the base once the engine confirmed
-// that they are gone: an engine may refuse to unload a base that is in use, and
-// memory that an adapter holds is freed by its own confirmation only.
+// unloadAll unloads the adapters of a slot, and the base once the engine has
+// confirmed that they are gone: an engine may refuse to unload a base that is
+// in use, and the memory of an adapter is freed only by its own confirmation.
 func (p *Part) unloadAll(s *slot) {
 	for _, t := range s.targets[1:] {
 		if t.item != nil {
-			p.closeItem(t.item)
+			p.requestUnload(t.item)
 		}
 	}
 	if s.base.item != nil {
@@ -154,28 +156,29 @@
 		}
 	}
 	if s.base.item != nil {
-		p.closeItem(s.base.item)
+		p.requestUnload(s.base.item)
 	}
 }
 
-// closeItem orders the unload of an item as soon as nothing else is under way.
-func (p *Part) closeItem(it *item) {
+// requestUnload orders the unload of an item as soon as it is loaded and has no
+// pending order.
+func (p *Part) requestUnload(it *item) {
 	it.closing = true
 	if it.state == itemLoaded && it.order == 0 {
 		p.orderUnload(it)
 	}
 }
 
-// changeVersions drains and unloads what is loaded in another version than the
-// one in force, so that the old one is gone before the new one is loaded and
-// the replica limit holds throughout a roll. It also goes on with unloads that
-// were begun.
-func (p *Part) changeVersions(s *slot) {
+// unloadOutdated drains and unloads checkpoints whose version is not the one in
+// force, so that the old version is gone before the new one is loaded and the
+// replica limit is kept during a rollout. It also continues unloads that have
+// begun.
+func (p *Part) unloadOutdated(s *slot) {
 	for _, t := range s.targets[1:] {
 		if p.outOfDate(t) {
-			p.closeIdle(t)
+			p.unloadWhenIdle(t)
 		}
-		p.boundDrain(t)
+		p.limitDrain(t)
 	}
 	if !p.outOfDate(s.base) {
 		return
@@ -197,19 +200,20 @@
 	return t.item != nil && (t.item.closing || t.misplaced || t.item.key != p.checkpointOf(t).key)
 }
 
-func (p *Part) closeIdle(t *target) {
+func (p *Part) unloadWhenIdle(t *target) {
 	t.item.closing = true
 	if t.running == 0 {
-		p.closeItem(t.item)
+		p.requestUnload(t.item)
 	}
 }
 
-// tryLoad orders the load of a target that needs one, if it may and memory is
-// free. One target has at most one item, so a burst of requests is one load.
+// tryLoad orders the load of a target that needs one, if the agent may load and
+// memory is free. A target has at most one item, so a burst of requests causes
+// a single load.
 func (p *Part) tryLoad(t *target) {
 	needed := t.waiting() > 0 || t.wanted || p.pinned(t)
 	if !needed && !t.adapter {
-		needed = p.adapterNeeds(t.slot)
+		needed = p.adapterWaitsForBase(t.slot)
 	}
 	if !needed || t.misplaced || t.item != nil || p.now < t.retryAt || !p.mayLoad(t.slot) {
 		return
@@ -219,7 +223,7 @@
 		return
 	}
 	if p.items[c.key] != nil {
-		return // held by a foreign item or another slot until it is unloaded
+		return // a foreign item or another slot holds this key until it is unloaded
 	}
 	if !p.tenureFits(p.loadTime(c)) {
 		t.wanted = false
@@ -231,8 +235,9 @@
 	}
 }
 
-// adapterNeeds reports whether an adapter's load waits for the base.
-func (p *Part) adapterNeeds(s *slot) bool {
+// adapterWaitsForBase reports whether an adapter needs to be loaded, for which
+// the base has to be loaded first.
+func (p *Part) adapterWaitsForBase(s *slot) bool {
 	for _, t := range s.adapters {
 		if t.waiting() > 0 || t.wanted || p.pinned(t) {
 			return true
@@ -241,32 +246,33 @@
 	return false
 }
 
-// watchIdle sets the idle timers of what is loaded and idle.
-func (p *Part) watchIdle(s *slot) {
+// updateIdleTimers sets the timers of targets that have become idle and stops
+// those of targets that are not idle any more.
+func (p *Part) updateIdleTimers(s *slot) {
 	for _, t := range s.targets {
 		idle := t.loaded() && !t.busy() && !p.pinned(t)
 		if !t.adapter {
 			idle = idle && !s.busy()
 		}
-		if idle == t.resting {
+		if idle == t.isIdle {
 			continue
 		}
-		t.resting = idle
-		p.timers.stop(&t.idle)
+		t.isIdle = idle
+		p.timers.stop(&t.idleTimer)
 		if idle {
-			p.timers.set(&t.idle, max(p.cfg.Idle.KeepUntil(p.now, t.item.key), p.now))
-			p.markStarved()
+			p.timers.set(&t.idleTimer, max(p.cfg.Idle.KeepUntil(p.now, t.item.key), p.now))
+			p.markStarvedDirty()
 		}
 	}
 }
 
-// idleOver unloads an idle target whose time has come.
-func (p *Part) idleOver(t *target) {
+// idleTimerFired unloads an idle target whose KeepUntil time has passed.
+func (p *Part) idleTimerFired(t *target) {
 	if !t.loaded() || t.busy() || !t.adapter && t.slot.busy() {
 		return
 	}
 	if until := p.cfg.Idle.KeepUntil(p.now, t.item.key); until > p.now {
-		p.timers.set(&t.idle, until)
+		p.timers.set(&t.idleTimer, until)
 		return
 	}
 	p.note("idle checkpoint unloaded", "key", t.item.key)
--- a/internal/core/agent/role.go
+++ b/internal/core/agent/role.go
@@ -5,41 +5,43 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// roleState is what the agent knows of the engine's role.
+// roleState is the role of the engine as last reported, and the pending order
+// that changes it.
 type roleState struct {
-	// draining is set when the engine refuses loads and runs although this
-	// agent is not leaving, until the order that ends it is answered.
+	// draining is set if the last inventory showed the engine as draining,
+	// until the order that ends this is answered. A draining engine refuses
+	// loads and runs.
 	draining bool
-	// order is the pending order, 0 if none.
+	// order is the ID of the pending order, 0 if there is none.
 	order uint64
-	// fence is the highest fencing number shown by the engine or ordered.
+	// fence is the highest fencing number of role orders that the engine has
+	// shown or that this agent has used.
 	//
-	// Failure: a process that is leaving is paused with its order to drain on
-	// the way, and the order arrives after its successor has brought the
-	// engine back. Neither incarnations nor generations of slots grow from
-	// process to process on a host. Guard: the engine shows the highest number
-	// it has seen, and each order carries one more, so the late order has a
-	// lower one. An engine that ignores numbers shows the old order's effect
-	// in the next inventory, and is brought back again.
+	// A process that is leaving may be paused while its order to drain is in
+	// flight, and the order may arrive after its successor has set the engine
+	// to serving again. Neither incarnations nor slot generations grow from
+	// process to process on a host. The engine shows the highest number that it
+	// has seen, and each order carries a higher one, so that the late order has
+	// a lower one. If an engine ignores the numbers, the next inventory shows
+	// the effect of the late order, and the engine is set to serving again.
 	fence uint64
 }
 
-// drainEngine lets the engine itself refuse new work, once the entries know
-// that this host is leaving. Nothing waits for the answer: a leaving agent
-// runs and loads nothing new whatever the engine does.
+// drainEngine orders the engine to refuse new work, after the Leaving notices
+// are sent. The agent does not wait for the answer, because a leaving agent
+// orders no new runs or loads in any case.
 func (p *Part) drainEngine() {
 	if p.service == nil {
 		p.orderRole(core.EngineDraining)
 	}
 }
 
-// takeRole brings back an engine that a predecessor left draining.
-//
-// Failure: an agent is replaced while its engine lives on. The predecessor's
-// leaving told the engine to drain, and nobody tells it to serve again: the
-// accelerator stands idle for ever. Guard: each inventory shows the role, and
-// nothing is loaded or run until the engine has answered the order.
-func (p *Part) takeRole(ev core.Inventory) {
+// updateRole sets an engine that a predecessor left draining to serving. An
+// engine can outlive its agent; the predecessor ordered it to drain when
+// leaving, and without a new order the accelerator would stay unused. Each
+// inventory shows the role, and nothing is loaded or run until the engine has
+// answered the order.
+func (p *Part) updateRole(ev core.Inventory) {
 	r := &p.role
 	r.fence = max(r.fence, ev.RoleFence)
 	r.draining = ev.Role == core.EngineDraining
@@ -59,17 +61,18 @@
 	})
 }
 
-// roleDone handles the engine's answer. After a failure the next inventory
-// tells the role, and the order is given again if it is still needed.
+// roleDone processes the answer of the engine to a role order. After a failure
+// the next inventory shows the role, and the order is repeated if it is still
+// needed.
 func (p *Part) roleDone(result code.Code) {
 	p.role.order = 0
 	switch {
 	case p.leaving:
 	case result == code.OK:
 		p.role.draining = false
-		p.markAll()
+		p.markAllDirty()
 	default:
 		p.note("engine role not changed", "code", formatUint(uint64(result)))
-		p.askInventory(p.now.Add(firstBackoff))
+		p.scheduleInventory(p.now.Add(firstBackoff))
 	}
 }
--- a/internal/core/agent/script_test.go
+++ b/internal/core/agent/script_test.go
@@ -13,7 +13,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// testTimings are short and round, so that scripts are easy to follow.
+// testTimings returns short and round timings that keep the scripts easy to
+// follow.
 func testTimings() core.Timings {
 	t := core.DefaultTimings()
 	t.Tenure, t.UnloadLead = time.Minute, 10*time.Second
@@ -22,8 +23,8 @@
 }
 
 // script runs one datadriven file. Commands feed events; the output lists the
-// effects of each step on a line, without metrics, Status and Reports that say
-// nothing new.
+// effects of each step on a line, without metrics, Status messages and
+// unchanged Reports.
 type script struct {
 	part       *Part
 	now        core.Time
@@ -40,14 +41,14 @@
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			s.out.Reset()
 			for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-				s.command(t, parseWords(t, line))
+				s.command(t, parseLine(t, line))
 			}
 			return s.out.String()
 		})
 	})
 }
 
-func (s *script) command(t *testing.T, w words) {
+func (s *script) command(t *testing.T, w scriptLine) {
 	from := core.HostID(w.text("from", "e1"))
 	switch w.name {
 	case "new":
@@ -75,12 +76,12 @@
 		s.step(core.OrderDone{Order: w.number("order", 0), Code: code.Code(w.number("code", 0))})
 	case "stop":
 		s.step(core.Stop{Limit: w.duration("limit", time.Minute)})
-		s.entryParts(w, from)
+		s.ackLeaving(w, from)
 	case "hosts":
 		s.step(core.HostList{Hosts: []core.Host{{ID: "h1", State: core.HostLeaving}}})
-		s.entryParts(w, from)
+		s.ackLeaving(w, from)
 	case "parted":
-		s.entryParts(w, from)
+		s.ackLeaving(w, from)
 	case "status":
 		s.status()
 	default:
@@ -88,15 +89,15 @@
 	}
 }
 
-// entryParts is an entry's answer to Leaving, which comes at once unless the script
-// says that it is still on its way.
-func (s *script) entryParts(w words, from core.HostID) {
+// ackLeaving delivers the answer of an entry to Leaving, unless the command has
+// the flag "unanswered".
+func (s *script) ackLeaving(w scriptLine, from core.HostID) {
 	if !w.has("unanswered") {
 		s.receive(from, core.Leaving{Host: from})
 	}
 }
 
-func (s *script) requestCommand(t *testing.T, w words, from core.HostID) {
+func (s *script) requestCommand(t *testing.T, w scriptLine, from core.HostID) {
 	a := attemptOf(w.number("id", 1), w.number("attempt", 1))
 	n := uint32(w.number("n", 1))
 	switch w.name {
@@ -123,7 +124,7 @@
 	}
 }
 
-func (s *script) create(w words) {
+func (s *script) create(w scriptLine) {
 	cfg := Config{Host: "h1", Incarnation: 7, Kind: core.BackendEngine, Timings: testTimings()}
 	cfg.Limits.QueueCount = 4
 	cfg.Limits.BufferFrames = 4
@@ -135,8 +136,8 @@
 	s.step(core.Tick{})
 }
 
-// boot brings a new engine agent to the point where it awaits its first Grant:
-// a steward is connected and the inventory, empty, is settled.
+// boot brings a new engine agent to the point where it waits for its first
+// Grant: a steward is connected and the empty inventory is settled.
 func (s *script) boot() {
 	s.configure()
 	s.step(core.PeerUp{Peer: "e1", Incarnation: 1})
--- a/internal/core/agent/scriptargs_test.go
+++ b/internal/core/agent/scriptargs_test.go
@@ -12,18 +12,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// words is a script line: a command, "key=value" pairs and flags, and items,
-// which are the words with an '@'.
-type words struct {
+// scriptLine is a parsed line of a script: a command, "key=value" pairs and
+// flags, and items, which are the words that contain an "@".
+type scriptLine struct {
 	t      *testing.T
 	name   string
 	values map[string]string
 	items  []string
 }
 
-func parseWords(t *testing.T, line string) words {
+func parseLine(t *testing.T, line string) scriptLine {
 	split := strings.Fields(line)
-	w := words{t: t, name: split[0], values: map[string]string{}}
+	w := scriptLine{t: t, name: split[0], values: map[string]string{}}
 	for _, word := range split[1:] {
 		if strings.Contains(word, "@") {
 			w.items = append(w.items, word)
@@ -35,16 +35,16 @@
 	return w
 }
 
-func (w words) has(name string) bool { _, ok := w.values[name]; return ok }
+func (w scriptLine) has(name string) bool { _, ok := w.values[name]; return ok }
 
-func (w words) text(name, fallback string) string {
+func (w scriptLine) text(name, fallback string) string {
 	if w.has(name) {
 		return w.values[name]
 	}
 	return fallback
 }
 
-func (w words) number(name string, fallback uint64) uint64 {
+func (w scriptLine) number(name string, fallback uint64) uint64 {
 	n, err := strconv.ParseUint(w.text(name, strconv.FormatUint(fallback, 10)), 10, 64)
 	if err != nil {
 		w.t.Fatalf("%s %s: %v", w.name, name, err)
@@ -52,7 +52,7 @@
 	return n
 }
 
-func (w words) duration(name string, fallback time.Duration) time.Duration {
+func (w scriptLine) duration(name string, fallback time.Duration) time.Duration {
 	d, err := time.ParseDuration(w.text(name, fallback.String()))
 	if err != nil {
 		w.t.Fatalf("%s %s: %v", w.name, name, err)
@@ -60,11 +60,11 @@
 	return d
 }
 
-// itemWords reads "name@rest,key=value,flag" as words with name as command and
-// rest as value "@".
-func (w words) itemWords(item string) words {
+// parseItem parses "name@rest,key=value,flag" into a scriptLine with name as
+// command and rest as the value of "@".
+func (w scriptLine) parseItem(item string) scriptLine {
 	parts := strings.Split(item, ",")
-	sub := parseWords(w.t, "x "+strings.Join(parts[1:], " "))
+	sub := parseLine(w.t, "x "+strings.Join(parts[1:], " "))
 	sub.name, sub.values["@"], _ = strings.Cut(parts[0], "@")
 	return sub
 }
@@ -75,7 +75,7 @@
 	return core.SlotID{Model: model, Index: uint16(n)}
 }
 
-// attemptOf makes an attempt ID that attemptName prints as "id.attempt".
+// attemptOf returns an attempt ID that attemptName prints as "id.attempt".
 func attemptOf(id, attempt uint64) core.AttemptID {
 	a := core.AttemptID{Attempt: uint32(attempt)}
 	a.Request[0], a.Request[1] = byte(id), byte(id>>8)
@@ -101,7 +101,7 @@
 }
 
 // declare adds a resource to the next configuration.
-func (s *script) declare(w words) {
+func (s *script) declare(w scriptLine) {
 	name := w.text("name", "")
 	limits := api.ReplicaLimits{Min: int(w.number("min", 0)), Max: int(w.number("max", 1))}
 	memory, concurrent := int64(w.number("memory", 0)), int(w.number("concurrent", 0))
@@ -122,24 +122,24 @@
 	}
 }
 
-// configure puts the declared resources in force.
+// configure puts the declared resources into force.
 func (s *script) configure() {
 	s.snapshot.Revision++
 	inForce := *s.snapshot
 	s.step(core.ConfigInForce{Snapshot: &inForce})
 }
 
-// grantOf answers the newest report unless seq says otherwise. Its items are
-// "model/index@generation[,releasing][,adapters=MAX][,epoch=N]", where MAX is the
-// model's limit unless given.
-func (s *script) grantOf(w words) core.Grant {
+// grantOf returns a Grant that answers the newest report unless seq is given.
+// Its items are "model/index@generation[,releasing][,adapters=MAX][,epoch=N]",
+// where MAX defaults to the replica limit of the model.
+func (s *script) grantOf(w scriptLine) core.Grant {
 	g := core.Grant{
 		Sequence:    w.number("seq", s.sequence),
 		Incarnation: core.Incarnation(w.number("inc", 7)),
 		Tenure:      w.duration("tenure", time.Minute),
 	}
 	for _, item := range w.items {
-		f := w.itemWords(item)
+		f := w.parseItem(item)
 		slot := core.Slot{ID: slotOf(f.name), Owner: "h1", Incarnation: 7, Generation: f.number("@", 0), State: core.SlotOwned}
 		slot.AdapterMax = uint16(f.number("adapters", s.limitOf(slot.ID.Model)))
 		slot.AdapterEpoch = f.number("epoch", 0)
@@ -158,14 +158,15 @@
 	return 0
 }
 
-// inventoryOf reads items "name@version,memory=N,fence=N[,base=KEY][,busy]",
-// where the base's version is v1, and the role of an engine that has one.
-func inventoryOf(w words) core.Inventory {
+// inventoryOf returns an inventory with items
+// "name@version,memory=N,fence=N[,base=KEY][,busy]", where the version of the
+// base is v1, and with the role of the engine if it is given.
+func inventoryOf(w scriptLine) core.Inventory {
 	inv := core.Inventory{Code: code.Code(w.number("code", 0)), MemoryMiB: 4000}
 	inv.Role = map[string]core.EngineRole{"serving": core.EngineServing, "draining": core.EngineDraining}[w.text("role", "")]
 	inv.RoleFence = w.number("rolefence", 0)
 	for _, item := range w.items {
-		f := w.itemWords(item)
+		f := w.parseItem(item)
 		li := core.LoadedItem{
 			Key: keyOf(f.name, f.text("@", "")), MemoryMiB: int64(f.number("memory", 0)),
 			Fence: f.number("fence", 0), Busy: f.has("busy"),
@@ -178,7 +179,7 @@
 	return inv
 }
 
-func startOf(w words, a core.AttemptID) core.Start {
+func startOf(w scriptLine, a core.AttemptID) core.Start {
 	slot := slotOf(w.text("slot", "small/0"))
 	m := core.Start{
 		Attempt: a, Slot: slot, Generation: 1, ClientAccount: w.text("account", "c"),
--- a/internal/core/agent/world_test.go
+++ b/internal/core/agent/simulation_test.go
@@ -11,18 +11,19 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// fakeOrder is an order on its way to the fake engine or being carried out.
+// fakeOrder is an order that is in flight to the fake engine or being executed.
 type fakeOrder struct {
 	core.Order
 	arrived, answered bool
 	incarnation       core.Incarnation
 }
 
-// world is one agent, its engine and a steward's table, with random faults:
-// pauses, late and stale Grants, lost answers, late orders, old inventories,
-// restarts of the engine and of the agent, version changes. The engine ignores
-// fencing numbers, so that nothing but the agent's own rules protects it.
-type world struct {
+// simulation runs one agent with a fake engine and the slot table of a steward,
+// with random faults: pauses, late and stale Grants, lost answers, late orders,
+// outdated inventories, restarts of the engine and of the agent, version
+// changes. The engine ignores fencing numbers, so that only the checks of the
+// agent protect it.
+type simulation struct {
 	t        *rapid.T
 	part     *Part
 	now      core.Time
@@ -31,17 +32,18 @@
 
 	held map[string]core.LoadedItem
 	role core.EngineRole
-	// shownRole is what this incarnation of the agent was told last.
-	shownRole core.EngineRole
-	orders    []*fakeOrder
-	asked     bool
-	askedAt   []core.LoadedItem // the engine's state when the inventory was asked
+	// reportedRole is the engine role that was last reported to this
+	// incarnation of the agent.
+	reportedRole       core.EngineRole
+	orders             []*fakeOrder
+	inventoryRequested bool
+	itemsAtRequest     []core.LoadedItem // the state of the engine when the inventory was requested
 
-	table   map[string]core.Slot
-	sentAt  map[uint64]core.Time // of this incarnation's reports
-	reports uint64
-	late    []core.Grant // written but not delivered
-	// What the agent was granted, by the rules: the oracle of every order.
+	table         map[string]core.Slot
+	sentAt        map[uint64]core.Time // sending times of the reports of this incarnation
+	reports       uint64
+	delayedGrants []core.Grant // written but not delivered
+	// The expected rights of the agent, by which every order is checked.
 	newest   uint64
 	until    core.Time
 	owned    map[string]uint64
@@ -49,8 +51,8 @@
 	layout   layoutOracle
 
 	requests uint64
-	// deadlines of the attempts: a message of one lives no longer than
-	// pastSlack after it (see past).
+	// deadlines of the attempts: a message of an attempt arrives no later than
+	// pastMargin after its deadline (see past).
 	deadlines map[uint64]core.Time
 	running   []core.AttemptID
 	ran       map[core.AttemptID]bool
@@ -59,8 +61,8 @@
 
 const fakeMemory = 1000
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
 		t: t, held: map[string]core.LoadedItem{}, table: map[string]core.Slot{},
 		snapshot: emptySnapshot(),
 	}
@@ -82,17 +84,17 @@
 	return w
 }
 
-// restartAgent replaces the agent. Its orders under way stay under way; the
-// steward moves its slots to the new incarnation. What an agent says of an
-// attempt holds for its own incarnation only, so the attempts start afresh.
-func (w *world) restartAgent() {
+// restartAgent replaces the agent. Its pending orders stay pending; the steward
+// moves its slots to the new incarnation. Answers about an attempt are valid
+// for one incarnation only, so the record of attempts is reset.
+func (w *simulation) restartAgent() {
 	w.inc++
 	w.deadlines = map[uint64]core.Time{}
 	w.requests, w.ran, w.refused = 0, map[core.AttemptID]bool{}, map[core.AttemptID]bool{}
 	w.sentAt, w.owned, w.released = map[uint64]core.Time{}, map[string]uint64{}, map[string]uint64{}
 	w.layout = newLayoutOracle()
-	w.newest, w.reports, w.until, w.asked, w.late, w.running = 0, 0, 0, false, nil, nil
-	w.shownRole = core.EngineServing
+	w.newest, w.reports, w.until, w.inventoryRequested, w.delayedGrants, w.running = 0, 0, 0, false, nil, nil
+	w.reportedRole = core.EngineServing
 	w.part = New(Config{
 		Host: "h", Incarnation: w.inc, Kind: core.BackendEngine, Timings: testTimings(),
 		Idle: NewFixedTTL(15 * time.Second), Limits: Limits{ReleaseDrain: 5 * time.Second},
@@ -106,16 +108,16 @@
 	w.connect()
 }
 
-func (w *world) connect() {
+func (w *simulation) connect() {
 	w.step(core.PeerUp{Peer: "e"})
 	w.step(core.Received{From: "e", Message: core.Hello{Host: "e", Steward: true}})
 }
 
-func (w *world) step(event core.Event) {
+func (w *simulation) step(event core.Event) {
 	for _, effect := range w.part.Step(w.now, event) {
 		switch e := effect.(type) {
 		case core.TakeInventory:
-			w.asked, w.askedAt = true, w.items()
+			w.inventoryRequested, w.itemsAtRequest = true, w.items()
 		case core.Order:
 			w.checkOrder(e)
 			w.orders = append(w.orders, &fakeOrder{Order: e, incarnation: w.inc})
@@ -131,10 +133,10 @@
 	}
 }
 
-// checkOrder holds each load order against the oracle.
-func (w *world) checkOrder(o core.Order) {
-	if o.Kind == core.OrderLoad && w.shownRole == core.EngineDraining {
-		w.t.Fatalf("load of %s while the engine is known to drain", o.Key)
+// checkOrder checks each load order against the expected rights of the agent.
+func (w *simulation) checkOrder(o core.Order) {
+	if o.Kind == core.OrderLoad && w.reportedRole == core.EngineDraining {
+		w.t.Fatalf("load of %s while the engine is reported as draining", o.Key)
 	}
 	if o.Kind != core.OrderLoad {
 		return
@@ -146,9 +148,9 @@
 	name, _ := splitKey(key)
 	switch {
 	case w.now > w.until || o.NotAfter > w.until:
-		w.t.Fatalf("load of %s at %s past the tenure until %s", o.Key, time.Duration(w.now), time.Duration(w.until))
+		w.t.Fatalf("load of %s at %s after the end of the tenure at %s", o.Key, time.Duration(w.now), time.Duration(w.until))
 	case w.owned[name] != o.Fence:
-		w.t.Fatalf("load of %s under %d, owned is %d", o.Key, o.Fence, w.owned[name])
+		w.t.Fatalf("load of %s under generation %d, owned is %d", o.Key, o.Fence, w.owned[name])
 	case o.Fence <= w.released[name]:
 		w.t.Fatalf("load of %s under released generation %d", o.Key, o.Fence)
 	}
@@ -157,7 +159,7 @@
 	}
 }
 
-func (w *world) sent(message core.Message) {
+func (w *simulation) sent(message core.Message) {
 	switch m := message.(type) {
 	case core.Report:
 		w.reports = m.Sequence
@@ -175,15 +177,15 @@
 		w.refused[m.Attempt] = true
 	case core.NotStarted:
 		if w.ran[m.Attempt] {
-			w.t.Fatalf("attempt %v called not started after it ran", m.Attempt)
+			w.t.Fatalf("attempt %v answered NotStarted after it ran", m.Attempt)
 		}
 		w.refused[m.Attempt] = true
 	}
 }
 
-// checkReleased checks that a released slot is gone from the engine, and lets
-// the steward give the slot back at the next generation.
-func (w *world) checkReleased(slot core.Slot) {
+// checkReleased checks that the engine holds nothing of a released slot, and
+// assigns the slot to the agent again at the next generation.
+func (w *simulation) checkReleased(slot core.Slot) {
 	name := slot.ID.Model
 	if w.released[name] >= slot.Generation {
 		return
@@ -203,7 +205,7 @@
 	}
 }
 
-func (w *world) items() []core.LoadedItem {
+func (w *simulation) items() []core.LoadedItem {
 	var items []core.LoadedItem
 	for _, key := range core.SortedKeys(w.held) {
 		items = append(items, w.held[key])
@@ -211,8 +213,8 @@
 	return items
 }
 
-// arrive lets an order reach the engine. A load takes its memory from here.
-func (w *world) arrive(o *fakeOrder) {
+// arrive delivers an order to the engine. A load takes its memory from here on.
+func (w *simulation) arrive(o *fakeOrder) {
 	o.arrived = true
 	if o.Kind == core.OrderRole {
 		w.role = o.Role
@@ -238,21 +240,22 @@
 	}
 }
 
-// work carries an order out.
-func (w *world) work(o *fakeOrder) {
+// execute executes an order successfully.
+func (w *simulation) execute(o *fakeOrder) {
 	if !o.arrived {
 		w.arrive(o)
 	}
 	w.finish(o, true, code.OK)
 }
 
-// finish ends an order's work, with or without effect, and answers it.
-func (w *world) finish(o *fakeOrder, worked bool, answer code.Code) {
+// finish ends the execution of an order, with or without effect, and answers
+// it.
+func (w *simulation) finish(o *fakeOrder, applied bool, answer code.Code) {
 	w.orders = slices.DeleteFunc(w.orders, func(other *fakeOrder) bool { return other == o })
 	if li, ok := w.held[o.Key]; ok && o.arrived && !w.loading(o.Key) {
 		li.Busy = false
 		w.held[o.Key] = li
-		if worked == (o.Kind == core.OrderUnload) {
+		if applied == (o.Kind == core.OrderUnload) {
 			delete(w.held, o.Key)
 		}
 	}
@@ -261,25 +264,25 @@
 
 // loading reports whether a load of the key is still in progress; an unload
 // that ends before it has no effect.
-func (w *world) loading(key string) bool {
+func (w *simulation) loading(key string) bool {
 	return slices.ContainsFunc(w.orders, func(o *fakeOrder) bool {
 		return o.arrived && o.Key == key && o.Kind == core.OrderLoad
 	})
 }
 
-func (w *world) answer(o *fakeOrder, answer code.Code) {
+func (w *simulation) answer(o *fakeOrder, answer code.Code) {
 	if o.answered || o.incarnation != w.inc {
 		return
 	}
 	o.answered = true
 	if o.Kind == core.OrderRole && answer == code.OK {
-		w.shownRole = o.Role
+		w.reportedRole = o.Role
 	}
 	w.step(core.OrderDone{Order: o.ID, Code: answer})
 }
 
 // expire drops the orders that were not sent within their validity.
-func (w *world) expire() {
+func (w *simulation) expire() {
 	for _, o := range slices.Clone(w.orders) {
 		if !o.arrived && w.now > o.NotAfter {
 			w.finish(o, false, code.OrderExpired)
@@ -287,11 +290,11 @@
 	}
 }
 
-func (w *world) advance(d time.Duration) {
+func (w *simulation) advance(d time.Duration) {
 	until := w.now.Add(d)
 	for ticks := 0; w.part.Next() <= until; ticks++ {
 		if ticks > 10000 {
-			w.t.Fatalf("the agent asks for ticks without end at %s", time.Duration(w.now))
+			w.t.Fatalf("the agent requests more than 10000 ticks up to %s", time.Duration(w.now))
 		}
 		w.now = max(w.now, w.part.Next())
 		w.expire()
@@ -301,8 +304,8 @@
 	w.expire()
 }
 
-// deliver hands a Grant to the agent and to the oracle.
-func (w *world) deliver(g core.Grant) {
+// deliver passes a Grant to the agent and records the rights that it gives.
+func (w *simulation) deliver(g core.Grant) {
 	if sent, ok := w.sentAt[g.Sequence]; ok && g.Sequence >= w.newest {
 		w.newest, w.until = g.Sequence, sent.Add(g.Tenure)
 		clear(w.owned)
--- a/internal/core/agent/slot.go
+++ b/internal/core/agent/slot.go
@@ -8,15 +8,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// slot is a replica place held by this incarnation, or the single place of a
+// slot is a replica slot assigned to this incarnation, or the single slot of a
 // plain service.
 type slot struct {
 	id         core.SlotID
 	generation uint64
-	// owned is set while the newest Grant shows the slot as SlotOwned.
+	// owned is set while the newest Grant lists the slot as SlotOwned.
 	owned bool
 	// lostGeneration is the generation at which the engine refused an order
-	// as fenced out. The slot can't be owned again at that generation.
+	// with FencedOut. The slot can't be owned again at that generation.
 	lostGeneration uint64
 	layout         layout
 	service        bool
@@ -25,28 +25,29 @@
 	adapters map[string]*target
 	// targets holds the base and then the adapters by name.
 	targets []*target
-	// pinned names the adapters kept loaded here by their Replicas.Min.
+	// pinned holds the names of the adapters that Replicas.Min keeps loaded on
+	// this slot.
 	pinned []string
 
 	ready   *fairQueue
 	running []*job
 	waiting [classCount]int
-	// runTime is the average run of each class.
+	// runTime is the average run time of each class.
 	runTime [classCount]average
 
-	// drainUntil bounds the wait for running requests before an unload.
+	// drainUntil limits the wait for running requests before an unload.
 	drainUntil core.Time
-	cut        timer
+	cutTimer   timer
 	dirty      bool
 	// starved is set while a load waits for accelerator memory.
 	starved bool
-	// crowdedAt is when a request was last refused for lack of memory; 0 for
+	// crowdedAt is when a request was last refused for lack of memory; 0 if
 	// never.
 	crowdedAt core.Time
 }
 
-// target is a checkpoint that requests can be for at one slot: the slot's base
-// model or an adapter on it.
+// target is a checkpoint that requests at one slot can be addressed to: the
+// base model of the slot or an adapter on it.
 type target struct {
 	slot    *slot
 	name    string
@@ -54,27 +55,28 @@
 	// item is the checkpoint in the engine, nil if there is none.
 	item *item
 	// parked holds requests that wait for the load, by deadline. Requests in
-	// slot.ready (counted by ready) need the target loaded.
+	// slot.ready (counted by ready) require the target to be loaded.
 	parked  heap[*job]
 	ready   int
 	running int
-	// wanted asks for a load without a waiting request.
-	wanted   bool
-	failures int
-	retryAt  core.Time
-	retry    timer
-	idle     timer
-	// resting is set while the target is loaded and idle.
-	resting bool
+	// wanted requests a load although no request waits.
+	wanted     bool
+	failures   int
+	retryAt    core.Time
+	retryTimer timer
+	idleTimer  timer
+	// isIdle is set while the target is loaded and idle, and idleTimer is
+	// running.
+	isIdle bool
 	// misplaced is set when the adapter may not be loaded on this slot any
-	// more; drain then bounds the wait for its running requests.
-	misplaced bool
-	drain     timer
+	// more; drainTimer then limits the wait for its running requests.
+	misplaced  bool
+	drainTimer timer
 }
 
 func (t *target) waiting() int { return t.parked.len() + t.ready }
 
-// busy reports whether an unload would take work away.
+// busy reports whether requests wait for the target or run on it.
 func (t *target) busy() bool { return t.waiting() > 0 || t.running > 0 }
 
 // loaded reports whether requests can run on the target.
@@ -92,8 +94,9 @@
 	return len(s.running) > 0 || s.waiting != [classCount]int{}
 }
 
-// waitingBefore counts the requests that go before a newcomer of the class.
-func (s *slot) waitingBefore(c class) int {
+// waitingUpTo returns the number of waiting requests of the classes up to and
+// including c.
+func (s *slot) waitingUpTo(c class) int {
 	ahead := 0
 	for i := classInteractive; i <= c; i++ {
 		ahead += s.waiting[i]
@@ -121,24 +124,24 @@
 func (p *Part) addSlot(id core.SlotID) *slot {
 	s := &slot{id: id, adapters: map[string]*target{}, ready: newFairQueue()}
 	s.drainUntil = core.Never
-	s.cut.fire = func() { p.cutRunning(s) }
+	s.cutTimer.fire = func() { p.cutRunning(s) }
 	s.base = p.newTarget(s, id.Model, false)
 	s.targets = []*target{s.base}
 	p.slots[id] = s
-	at, _ := slices.BinarySearchFunc(p.ordered, id, compareSlots)
-	p.ordered = slices.Insert(p.ordered, at, s)
+	at, _ := slices.BinarySearchFunc(p.sortedSlots, id, compareSlots)
+	p.sortedSlots = slices.Insert(p.sortedSlots, at, s)
 	p.findPinned(s)
 	return s
 }
 
 func (p *Part) removeSlot(s *slot) {
-	p.timers.stop(&s.cut)
+	p.timers.stop(&s.cutTimer)
 	for _, t := range s.targets {
 		p.stopTarget(t)
 	}
 	delete(p.slots, s.id)
-	at, _ := slices.BinarySearchFunc(p.ordered, s.id, compareSlots)
-	p.ordered = slices.Delete(p.ordered, at, at+1)
+	at, _ := slices.BinarySearchFunc(p.sortedSlots, s.id, compareSlots)
+	p.sortedSlots = slices.Delete(p.sortedSlots, at, at+1)
 	p.statusDirty = true
 }
 
@@ -147,19 +150,20 @@
 		less: jobBefore,
 		pos:  func(j *job) *int { return &j.parkPos },
 	}}
-	t.retry.fire = func() { p.mark(s) }
-	t.idle.fire = func() { p.idleOver(t) }
-	t.drain.fire = func() { p.cutTarget(t) }
+	t.retryTimer.fire = func() { p.markDirty(s) }
+	t.idleTimer.fire = func() { p.idleTimerFired(t) }
+	t.drainTimer.fire = func() { p.cutTarget(t) }
 	return t
 }
 
 func (p *Part) stopTarget(t *target) {
-	p.timers.stop(&t.retry)
-	p.timers.stop(&t.idle)
-	p.timers.stop(&t.drain)
+	p.timers.stop(&t.retryTimer)
+	p.timers.stop(&t.idleTimer)
+	p.timers.stop(&t.drainTimer)
 }
 
-// adapterTarget returns the adapter's target at a slot, made on demand.
+// adapterTarget returns the target of an adapter at a slot and creates it if
+// necessary.
 func (p *Part) adapterTarget(s *slot, name string) *target {
 	t := s.adapters[name]
 	if t == nil {
@@ -173,9 +177,9 @@
 
 func compareTargets(t *target, name string) int { return cmp.Compare(t.name, name) }
 
-// sweepTargets drops adapters' targets that hold nothing, so that a slot's
-// state does not grow with all adapters that ever were called on it.
-func (p *Part) sweepTargets(s *slot) {
+// dropUnusedTargets removes unused adapter targets, so that the state of a slot
+// does not grow with all adapters that were ever requested on it.
+func (p *Part) dropUnusedTargets(s *slot) {
 	s.targets = slices.DeleteFunc(s.targets, func(t *target) bool {
 		used := t.item != nil || t.busy() || t.wanted || t.retryAt > p.now
 		if !t.adapter || used || slices.Contains(s.pinned, t.name) {
@@ -187,34 +191,34 @@
 	})
 }
 
-// mark queues a slot for reconcile at the end of the step.
-func (p *Part) mark(s *slot) {
+// markDirty queues a slot for reconciliation at the end of the step.
+func (p *Part) markDirty(s *slot) {
 	if !s.dirty {
 		s.dirty = true
 		p.dirty = append(p.dirty, s)
 	}
 }
 
-func (p *Part) markAll() {
-	for _, s := range p.ordered {
-		p.mark(s)
+func (p *Part) markAllDirty() {
+	for _, s := range p.sortedSlots {
+		p.markDirty(s)
 	}
 	if p.service != nil {
-		p.mark(p.service)
+		p.markDirty(p.service)
 	}
 }
 
-// markStarved lets the loads that wait for memory try again.
-func (p *Part) markStarved() {
-	for _, s := range p.ordered {
+// markStarvedDirty queues the slots whose loads wait for memory.
+func (p *Part) markStarvedDirty() {
+	for _, s := range p.sortedSlots {
 		if s.starved {
-			p.mark(s)
+			p.markDirty(s)
 		}
 	}
 }
 
-// drainLimit tells how long running requests may hold up an unload: Never
-// unless the slot has to be given up.
+// drainLimit returns until when running requests may delay an unload:
+// core.Never unless the slot has to be drained.
 func (p *Part) drainLimit(s *slot) core.Time {
 	until := core.Never
 	if p.leaving {
@@ -232,8 +236,8 @@
 	return until
 }
 
-// idleIn predicts how long until a busy slot is idle, false if requests
-// wait for it so that it won't be.
+// idleIn predicts the time until a slot is idle. It returns false if requests
+// wait for the slot, because its idle time can't be predicted then.
 func (p *Part) idleIn(s *slot) (time.Duration, bool) {
 	if s.waiting != [classCount]int{} {
 		return 0, false
@@ -242,8 +246,8 @@
 	for _, j := range s.running {
 		left := j.startedAt.Add(s.runTime[j.class].value()).Sub(p.now)
 		if left <= 0 {
-			// The run is longer than the usual one: take it to last as long
-			// again as it did, at most until its deadline.
+			// The run already takes longer than the average: assume that it
+			// takes as long again as so far, at most until its deadline.
 			left = min(p.now.Sub(j.startedAt), j.deadline.Sub(p.now))
 		}
 		longest = max(longest, left)
--- a/internal/core/agent/status.go
+++ b/internal/core/agent/status.go
@@ -6,7 +6,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// flushStatus pushes what changed to all entries, at most each statusInterval.
+// flushStatus sends a changed Status to all entries, at most once per
+// statusInterval.
 func (p *Part) flushStatus() {
 	if !p.statusDirty || p.statusTimer.set() || len(p.peerOrder) == 0 {
 		return
@@ -25,7 +26,7 @@
 	if p.snapshot == nil {
 		return status
 	}
-	for _, s := range p.ordered {
+	for _, s := range p.sortedSlots {
 		if s.owned && !p.leaving {
 			status.Slots = append(status.Slots, p.slotLoad(s))
 		}
@@ -37,7 +38,7 @@
 	last := p.startsLast(s.base)
 	load := core.SlotLoad{
 		Slot: s.id, Generation: s.generation, State: loadState(s.base.item),
-		Running: len(s.running), Queued: s.waitingBefore(classBatch),
+		Running: len(s.running), Queued: s.waitingUpTo(classBatch),
 		ReadyIn: last, SkipIn: last - p.startsFirst(s.base),
 	}
 	for _, t := range s.targets[1:] {
@@ -60,14 +61,16 @@
 	return core.Loading
 }
 
-// engineLoad takes the engine's lagging report. Its prefixes are hints that
-// are passed on; its counts are not used, because the agent knows better.
+// engineLoad processes the periodic load report of the engine. Its prefixes are
+// hints for the entries; its request counts are not used, because the counts of
+// the agent are more recent.
 func (p *Part) engineLoad(ev core.EngineLoad) {
 	if ev.Cached != nil {
-		p.takeCached(ev.Cached)
+		p.updateCached(ev.Cached)
 	}
-	// The engine is asked twice a second; a Status to every entry each time
-	// was nearly all the traffic of an idle connection (docs/CAPACITY.md).
+	// The engine is polled twice a second; sending a Status to every entry
+	// after each poll made up almost all traffic of an idle connection
+	// (docs/CAPACITY.md).
 	if !slices.Equal(p.prefixes, ev.Prefixes) {
 		p.prefixes, p.statusDirty = ev.Prefixes, true
 	}
@@ -75,7 +78,7 @@
 
 // flushReport sends a report to the stewards if one is due.
 func (p *Part) flushReport() {
-	p.noteCleared()
+	p.reportNewlyCleared()
 	if !p.reportNow || !p.started {
 		return
 	}
@@ -110,8 +113,8 @@
 		Inventoried: p.inventoried, Cached: p.cachedList, ConfigRevision: p.revision(),
 		Backend: p.cfg.Backend,
 	}
-	for i := range p.releases {
-		r := &p.releases[i]
+	for i := range p.pendingReleases {
+		r := &p.pendingReleases[i]
 		if r.firstReport == 0 {
 			r.firstReport = report.Sequence
 		}
--- a/internal/core/agent/timers.go
+++ b/internal/core/agent/timers.go
@@ -2,8 +2,8 @@
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// timer calls fire at a time. The zero time of a timer that is not set does
-// not matter.
+// timer calls fire at a time. The field at is meaningful only while the timer
+// is set.
 type timer struct {
 	at    core.Time
 	order uint64
@@ -13,8 +13,8 @@
 
 func (t *timer) set() bool { return t.pos != 0 }
 
-// timers orders all timers of a part. Timers of the same time fire in the
-// order in which they were set, so that a replay fires them alike.
+// timers is the queue of all timers of a Part. Timers with the same time fire
+// in the order in which they were set, so that a replay is deterministic.
 type timers struct {
 	heap  heap[*timer]
 	count uint64
