--- a/internal/accounts/accounts.go
+++ b/internal/accounts/accounts.go
@@ -37,7 +37,7 @@
 }
 
 // Dropped are the keys of a directory that a later one does not have.
-func (d *Directory) Dropped(later *Directory) []fleet.KeyDigest {
+func (d *Directory) RemovedKeys(later *Directory) []fleet.KeyDigest {
 	var dropped []fleet.KeyDigest
 	for key := range d.byKey {
 		if later.byKey[key] == nil {
--- a/internal/accounts/accounts_test.go
+++ b/internal/accounts/accounts_test.go
@@ -37,7 +37,7 @@
 func TestDropped(t *testing.T) {
 	before := NewDirectory([]fleet.Account{account("a", "k1", "k2")})
 	after := NewDirectory([]fleet.Account{account("b", "k2")})
-	if got, want := before.Dropped(after), []fleet.KeyDigest{fleet.DigestKey("k1")}; !slices.Equal(got, want) {
+	if got, want := before.RemovedKeys(after), []fleet.KeyDigest{fleet.DigestKey("k1")}; !slices.Equal(got, want) {
 		t.Errorf("dropped %v, want %v", got, want)
 	}
 }
@@ -45,7 +45,7 @@
 // A caller whose key was taken away calls on for hours. It must not be looked up anew with
 // each call; and a key that becomes valid must not be refused for longer than told.
 func TestRefusedKeysAreRememberedForAWhile(t *testing.T) {
-	r, now := NewRefused(time.Second), core.Time(time.Hour)
+	r, now := NewUnknownKeys(time.Second), core.Time(time.Hour)
 	key := fleet.DigestKey("k1")
 	r.Add(now, key)
 	if !r.Has(now.Add(999*time.Millisecond), key) || r.Has(now.Add(time.Second), key) {
@@ -60,7 +60,7 @@
 
 // A caller tries a new key with each request. Memory must stay bounded.
 func TestRefusedKeysAreBounded(t *testing.T) {
-	r := NewRefused(time.Hour)
+	r := NewUnknownKeys(time.Hour)
 	for i := range 10 * maxRefused {
 		r.Add(core.Time(i), fleet.DigestKey(fmt.Sprint(i)))
 	}
@@ -85,8 +85,8 @@
 // A key was taken away, and its holder calls for hours. It is refused without a look all the
 // while, and until a newer configuration only.
 func TestDroppedKeysStayRefused(t *testing.T) {
-	r, key := NewRefused(time.Second), fleet.DigestKey("k1")
-	r.Drop(key)
+	r, key := NewUnknownKeys(time.Second), fleet.DigestKey("k1")
+	r.AddRemoved(key)
 	if !r.Has(core.Time(1000*time.Hour), key) {
 		t.Error("a key that was taken away is looked up again")
 	}
--- a/internal/accounts/refused.go
+++ b/internal/accounts/refused.go
@@ -18,19 +18,19 @@
 // new there, a call that costs and, until its answer, holds the request up.
 //
 // The zero value is not usable; see NewRefused.
-type Refused struct {
+type UnknownKeys struct {
 	lasts time.Duration
 	until map[fleet.KeyDigest]core.Time
 }
 
 // NewRefused returns an empty memory. What it remembers lasts so long: a key that becomes
 // valid after it was refused is refused for no longer than that.
-func NewRefused(lasts time.Duration) *Refused {
-	return &Refused{lasts: lasts, until: map[fleet.KeyDigest]core.Time{}}
+func NewUnknownKeys(lasts time.Duration) *UnknownKeys {
+	return &UnknownKeys{lasts: lasts, until: map[fleet.KeyDigest]core.Time{}}
 }
 
 // Add notes that a key is unknown as of now.
-func (r *Refused) Add(now core.Time, key fleet.KeyDigest) {
+func (r *UnknownKeys) Add(now core.Time, key fleet.KeyDigest) {
 	if len(r.until) >= maxRefused {
 		clear(r.until)
 	}
@@ -41,10 +41,10 @@
 //
 // With a look into the store each second for each such key, 28 routers asked 2,000 times
 // within 34 s.
-func (r *Refused) Drop(key fleet.KeyDigest) { r.until[key] = core.Never }
+func (r *UnknownKeys) AddRemoved(key fleet.KeyDigest) { r.until[key] = core.Never }
 
 // Has tells whether a key was found to be unknown a short while ago, or taken away.
-func (r *Refused) Has(now core.Time, key fleet.KeyDigest) bool {
+func (r *UnknownKeys) Has(now core.Time, key fleet.KeyDigest) bool {
 	until, ok := r.until[key]
 	if ok && now >= until {
 		delete(r.until, key)
@@ -54,4 +54,4 @@
 }
 
 // Clear forgets all keys: a newer configuration may have them.
-func (r *Refused) Clear() { clear(r.until) }
+func (r *UnknownKeys) Clear() { clear(r.until) }
--- a/internal/bench/quota/fleet.go
+++ b/internal/bench/quota/fleet.go
@@ -89,7 +89,7 @@
 
 type loaderProcess struct {
 	name   core.HostID
-	keeper *quota.Keeper
+	keeper *quota.Granter
 	alive  bool
 	// life counts the starts.
 	life int
@@ -119,7 +119,7 @@
 		bounds: quota.Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 72000},
 	}
 	for i := range loaders {
-		f.loaders = append(f.loaders, &loaderProcess{name: core.HostID(fmt.Sprintf("l%03d", i)), keeper: quota.NewKeeper(), alive: true})
+		f.loaders = append(f.loaders, &loaderProcess{name: core.HostID(fmt.Sprintf("l%03d", i)), keeper: quota.NewGranter(), alive: true})
 	}
 	f.addAccounts(d)
 	for range d.Routers {
@@ -173,10 +173,10 @@
 
 // restart begins a loader's process anew: it knows nothing, and its connections are over.
 func (f *fleet) restart(l *loaderProcess) {
-	l.keeper = quota.NewKeeper()
+	l.keeper = quota.NewGranter()
 	l.life++
 	for _, r := range f.routers {
-		r.gate.Lost(l.name)
+		r.gate.Disconnected(l.name)
 	}
 }
 
@@ -209,12 +209,12 @@
 			rest = append(rest, w)
 		case !r.alive || !l.alive || r.cut || w.routerLife != r.life || w.loaderLife != l.life:
 		case w.ask != nil:
-			told := l.keeper.Ask(f.now, r.name, *w.ask)
+			told := l.keeper.HandleAsk(f.now, r.name, *w.ask)
 			w.at, w.ask, w.told = f.now.Add(step), nil, told
 			f.send(size(*told))
 			rest = append(rest, w)
 		default:
-			r.gate.Hear(f.now, l.name, *w.told)
+			r.gate.HandleAnswer(f.now, l.name, *w.told)
 		}
 	}
 	f.words = rest
@@ -315,7 +315,7 @@
 	f.cost.decisions++
 	f.asked++
 	switch d := r.gate.Admit(f.now, f.asked, w.account.name, w.cost); d.Outcome {
-	case quota.Waits:
+	case quota.Queued:
 		r.waiting[f.asked] = w
 	default:
 		w.record(f.now, d.Outcome == quota.Admitted)
--- a/internal/bench/quota/record.go
+++ b/internal/bench/quota/record.go
@@ -59,5 +59,5 @@
 		}
 		worst = max(worst, sum)
 	}
-	return worst / b.Most(l)
+	return worst / b.MaxUse(l)
 }
--- a/internal/bench/quota/script.go
+++ b/internal/bench/quota/script.go
@@ -267,7 +267,7 @@
 	for _, i := range s.hot {
 		a := f.clients[i]
 		windows := seconds / f.bounds.Window.Seconds()
-		out.Used = min(out.Used, a.record.admitted/(f.bounds.Most(a.limit)*windows))
+		out.Used = min(out.Used, a.record.admitted/(f.bounds.MaxUse(a.limit)*windows))
 	}
 	out.BytesPerSecond = float64(f.cost.bytes) / seconds / float64(d.Routers)
 	return out
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -54,7 +54,7 @@
 type QuotaGrant struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
-	// Granted tokens may be used for quota.GrantLasts from the question on.
+	// Granted tokens may be used for quota.GrantLifetime from the request on.
 	Granted int64
 	// Left is what the loader has left to grant, and RoomMs how many milliseconds it takes
 	// until it can grant what was asked for, above 0 if that was not granted.
--- a/internal/daemon/storereader.go
+++ b/internal/daemon/storereader.go
@@ -81,7 +81,7 @@
 		case err == nil:
 		case errors.Is(err, platform.ErrCompacted):
 			s.log.Info("store history was discarded; reading the whole again")
-			s.locked(func() { s.reader.Forget(clock.Now()) })
+			s.locked(func() { s.reader.RequireFullRead(clock.Now()) })
 		default:
 			s.log.Warn("store read failed", "error", err.Error())
 			s.gateway.Step(router.StoreState{Reachable: false})
@@ -97,7 +97,7 @@
 
 // setPause replaces the longest time between two looks at the store.
 func (s *storeReader) setPause(pause time.Duration) {
-	s.locked(func() { s.reader.SetPause(pause) })
+	s.locked(func() { s.reader.SetMaxInterval(pause) })
 }
 
 func (s *storeReader) locked(f func()) {
@@ -302,7 +302,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.countReaders()
-	if s.reader.Hear(clock.Now(), news.From, core.StorePosition{Era: news.Era, Revision: news.To}) == registry.Current {
+	if s.reader.PeerReadChanges(clock.Now(), news.From, core.StorePosition{Era: news.Era, Revision: news.To}) == registry.Current {
 		s.gateway.Step(router.NewsHeard{News: news})
 	}
 	s.want(news.Config)
@@ -330,7 +330,7 @@
 func (s *storeReader) spreadWait() time.Duration {
 	wait := time.Duration(0)
 	s.gateway.Look(func(r *router.Router) { wait = r.SpreadWait() })
-	return time.Duration(s.reader.Share() * float64(wait))
+	return time.Duration(s.reader.DelayFraction() * float64(wait))
 }
 
 // report logs values of the platform that can't be decoded. One that is written
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -135,12 +135,12 @@
 	// Load is set where the server tells it.
 	Load *Load
 	// Limit is what the server tells of the requests that it takes.
-	Limit ToldLimit
+	Limit ReportedLimit
 }
 
 // ToldLimit is what an answer tells of the requests a second that its server takes from
 // all routers together.
-type ToldLimit struct {
+type ReportedLimit struct {
 	State LimitState
 	// PerSecond is the limit, of LimitNamed.
 	PerSecond float64
@@ -155,7 +155,7 @@
 	// LimitNone: there is none.
 	LimitNone LimitState = iota
 	// LimitNamed: there is one.
-	LimitNamed
+	LimitReported
 	// LimitMalformed: what stands there can't be read, and says nothing.
 	LimitMalformed
 )
--- a/internal/fleet/engine.go
+++ b/internal/fleet/engine.go
@@ -65,7 +65,7 @@
 	// OrderAccepted orders are being carried out.
 	OrderAccepted OrderResult = iota
 	// OrderHolds: what was ordered is already so.
-	OrderHolds
+	OrderUnchanged
 	// OrderConflict: another order is under way, or came first.
 	OrderConflict
 	// OrderWrongInstance: another instance answered.
--- a/internal/loader/dump.go
+++ b/internal/loader/dump.go
@@ -23,7 +23,7 @@
 	// QuotaShare is the part of all bounds of client accounts that routers lend this loader,
 	// from 0 to 1, and Quotas are the accounts that it grants tokens of.
 	QuotaShare float64
-	Quotas     []quota.KeptState
+	Quotas     []quota.GranterState
 }
 
 // Dump returns the state between two steps.
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -96,7 +96,7 @@
 	// ledger is what routers told of poison requests, for those that start later.
 	ledger *poison.Ledger
 	// quotas grants what routers use of client accounts.
-	quotas *quota.Keeper
+	quotas *quota.Granter
 	// limits counts what routers send to servers that name a limit.
 	limits  *limit.Keeper
 	configs configs
@@ -127,7 +127,7 @@
 
 // New returns a loader that knows nothing yet.
 func New(opts Options) *Loader {
-	return &Loader{opts: opts, routers: map[core.HostID]*router{}, loadedAt: map[string]core.Time{}, retiring: map[string]core.Time{}, ledger: poison.New(), quotas: quota.NewKeeper(), limits: limit.NewKeeper(), configs: configs{waiting: map[core.HostID]int64{}}, useSums: map[modelKey]*useSum{}}
+	return &Loader{opts: opts, routers: map[core.HostID]*router{}, loadedAt: map[string]core.Time{}, retiring: map[string]core.Time{}, ledger: poison.New(), quotas: quota.NewGranter(), limits: limit.NewKeeper(), configs: configs{waiting: map[core.HostID]int64{}}, useSums: map[modelKey]*useSum{}}
 }
 
 // Step handles an event. The effects are valid until the next step.
@@ -171,7 +171,7 @@
 		l.passOn(e.Router, e.News)
 		return l.out
 	case RouterAskedQuota:
-		l.emit(TellQuota{Router: e.Router, Told: *l.quotas.Ask(now, e.Router, e.Ask)})
+		l.emit(TellQuota{Router: e.Router, Told: *l.quotas.HandleAsk(now, e.Router, e.Ask)})
 		return l.out
 	case RouterAskedLimit:
 		l.limitAsked(e)
--- a/internal/loader/orders.go
+++ b/internal/loader/orders.go
@@ -33,7 +33,7 @@
 		return
 	}
 	switch e.Result {
-	case fleet.OrderAccepted, fleet.OrderHolds:
+	case fleet.OrderAccepted, fleet.OrderUnchanged:
 		l.accepted(e.Order, e.Result)
 		return
 	case fleet.OrderWrongInstance:
@@ -49,7 +49,7 @@
 
 func (l *Loader) accepted(order fleet.Order, result fleet.OrderResult) {
 	l.acceptedAt = l.now
-	if order.Adapter != "" || result == fleet.OrderHolds {
+	if order.Adapter != "" || result == fleet.OrderUnchanged {
 		return
 	}
 	t := &task{order: order, began: l.now, due: l.now}
--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -51,7 +51,7 @@
 	// Admitted: the request's tokens are taken.
 	Admitted
 	// Waits: a Verdict follows.
-	Waits
+	Queued
 )
 
 // Decision is what becomes of a request.
@@ -82,37 +82,37 @@
 // The rules.
 const (
 	// RuleFree: the account has no bound.
-	RuleFree Rule = "no limit"
+	RuleUnlimited Rule = "no limit"
 	// RuleHold: this router has the tokens.
-	RuleHold Rule = "tokens in hand"
+	RuleLocalTokens Rule = "tokens in hand"
 	// RuleLoaders: the loaders have no room.
 	RuleLoaders Rule = "loaders without room"
 	// RuleAlone: no loader can be asked, and this router's own share has no room.
-	RuleAlone Rule = "own share without room"
+	RuleOwnShare Rule = "own share without room"
 	// RuleNobody: this router's share has not come back, and nobody else has any.
-	RuleNobody Rule = "nobody holds a share"
+	RuleNoHolder Rule = "nobody holds a share"
 	// RuleCrowd: too many requests wait.
-	RuleCrowd Rule = "too many wait"
+	RuleQueueFull Rule = "too many wait"
 )
 
 // Admit decides on a request that counts so much. The key tells it apart from all others.
 func (g *Gate) Admit(now core.Time, key uint64, name string, cost float64) Decision {
 	a := g.accounts[name]
 	if a == nil {
-		return Decision{Outcome: Admitted, Rule: RuleFree}
+		return Decision{Outcome: Admitted, Rule: RuleUnlimited}
 	}
 	a.asked.add(now, cost)
 	g.place(now)
 	if len(a.waiting) == 0 {
 		if until, ok := g.take(now, a, cost); ok {
-			return Decision{Outcome: Admitted, Rule: RuleHold, Until: until}
+			return Decision{Outcome: Admitted, Rule: RuleLocalTokens, Until: until}
 		}
 	}
 	switch {
 	case now < a.roomAt && now < a.nextAsk:
 		return g.refuse(now, a, cost, RuleLoaders, a.roomAt.Sub(now))
 	case g.waits >= maxWaiting:
-		return g.refuse(now, a, cost, RuleCrowd, leastReturn)
+		return g.refuse(now, a, cost, RuleQueueFull, leastReturn)
 	}
 	a.waiting = append(a.waiting, waiter{key: key, cost: cost, since: now})
 	g.waits++
@@ -121,7 +121,7 @@
 	if d, ok := g.verdictOf(key); ok {
 		return d
 	}
-	return Decision{Outcome: Waits}
+	return Decision{Outcome: Queued}
 }
 
 // verdictOf takes the verdict on a request out of those that are to be fetched.
@@ -143,7 +143,7 @@
 }
 
 // Forget forgets a request that waits: its caller has left.
-func (g *Gate) Forget(name string, key uint64) {
+func (g *Gate) Cancel(name string, key uint64) {
 	a := g.accounts[name]
 	if a == nil {
 		return
@@ -155,7 +155,7 @@
 
 // Return gives back what a request counted that proved not to have run, as long as its
 // tokens could be used.
-func (g *Gate) Return(now core.Time, name string, cost float64, until core.Time) {
+func (g *Gate) Refund(now core.Time, name string, cost float64, until core.Time) {
 	if a := g.accounts[name]; a != nil && now < until {
 		a.hold = append(a.hold, tokens{amount: cost, until: until})
 	}
@@ -213,7 +213,7 @@
 			break
 		}
 		g.next(a)
-		g.decide(w.key, Decision{Outcome: Admitted, Rule: RuleHold, Hold: g.inHand(now, a), Share: g.home.share, Until: until})
+		g.decide(w.key, Decision{Outcome: Admitted, Rule: RuleLocalTokens, Hold: g.inHand(now, a), Share: g.home.share, Until: until})
 	}
 }
 
@@ -240,7 +240,7 @@
 	for len(a.waiting) > 0 && now.Sub(a.waiting[0].since) >= longestWait {
 		w := a.waiting[0]
 		g.next(a)
-		g.decide(w.key, g.refuse(now, a, w.cost, RuleNobody, returnsAfter))
+		g.decide(w.key, g.refuse(now, a, w.cost, RuleNoHolder, returnsAfter))
 	}
 }
 
@@ -259,7 +259,7 @@
 			continue
 		}
 		g.waits--
-		g.decide(w.key, g.refuse(now, a, w.cost, RuleAlone, room))
+		g.decide(w.key, g.refuse(now, a, w.cost, RuleOwnShare, room))
 	}
 }
 
--- a/internal/quota/ask.go
+++ b/internal/quota/ask.go
@@ -247,7 +247,7 @@
 }
 
 // Hear takes in a loader's answer.
-func (g *Gate) Hear(now core.Time, from core.HostID, m core.QuotaTold) {
+func (g *Gate) HandleAnswer(now core.Time, from core.HostID, m core.QuotaTold) {
 	l := g.link(from)
 	if l == nil {
 		return
@@ -299,7 +299,7 @@
 func (g *Gate) hearGrant(now core.Time, a *account, l *link, m core.QuotaTold, grant core.QuotaGrant, at core.Time) {
 	wasOpen := a.close(l.name, m.Number)
 	a.left[l.name] = told{level: float64(grant.Left), at: now}
-	until := at.Add(GrantLasts)
+	until := at.Add(GrantLifetime)
 	if grant.Granted > 0 && now < until {
 		a.hold = append(a.hold, tokens{amount: float64(grant.Granted), until: until})
 	}
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -143,7 +143,7 @@
 			a = &account{name: name, left: map[core.HostID]told{}, recent: window.New(g.bounds.Window, recentSlots)}
 			g.accounts[name] = a
 		}
-		a.most = g.bounds.Most(limit)
+		a.most = g.bounds.MaxUse(limit)
 		g.home.setBound(now, name, a.most, version)
 	}
 	for _, l := range g.links {
@@ -154,17 +154,17 @@
 // free admits the requests that wait for an account that has no bound any more.
 func (g *Gate) free(a *account) {
 	for _, w := range a.waiting {
-		g.decide(w.key, Decision{Outcome: Admitted, Rule: RuleFree})
+		g.decide(w.key, Decision{Outcome: Admitted, Rule: RuleUnlimited})
 		g.waits--
 	}
 	a.waiting = nil
 }
 
 // Counts tells whether any account has a bound.
-func (g *Gate) Counts() bool { return len(g.accounts) > 0 }
+func (g *Gate) HasLimits() bool { return len(g.accounts) > 0 }
 
 // Leave tells that the router stops for good, if it is not started again.
-func (g *Gate) Leave() { g.leaving = true }
+func (g *Gate) SetLeaving() { g.leaving = true }
 
 // Tick lets time pass. Questions that are due and verdicts are to be fetched afterwards.
 func (g *Gate) Tick(now core.Time) {
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -105,7 +105,7 @@
 	switch {
 	case b == nil:
 		h.settleAll()
-		b = &bucket{version: version, filled: h.filled, given: window.New(GrantLasts, grantSlots), bursts: window.New(h.window+GrantLasts, burstSlots)}
+		b = &bucket{version: version, filled: h.filled, given: window.New(GrantLifetime, grantSlots), bursts: window.New(h.window+GrantLifetime, burstSlots)}
 		if h.buckets == nil {
 			h.buckets = map[string]*bucket{}
 		}
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -15,7 +15,7 @@
 
 // Keeper grants tokens, in a loader, from the shares that routers lend it. The zero value is
 // not usable; see NewKeeper.
-type Keeper struct {
+type Granter struct {
 	holder  holder
 	members map[core.HostID]*member
 	// began is when the first router was heard of.
@@ -43,12 +43,12 @@
 }
 
 // NewKeeper returns a keeper that holds nothing.
-func NewKeeper() *Keeper {
-	return &Keeper{members: map[core.HostID]*member{}, queues: map[string]*queue{}, nextEnd: core.Never}
+func NewGranter() *Granter {
+	return &Granter{members: map[core.HostID]*member{}, queues: map[string]*queue{}, nextEnd: core.Never}
 }
 
 // Ask takes in a router's word and returns the answer.
-func (k *Keeper) Ask(now core.Time, from core.HostID, ask core.QuotaAsk) *core.QuotaTold {
+func (k *Granter) HandleAsk(now core.Time, from core.HostID, ask core.QuotaAsk) *core.QuotaTold {
 	k.endLoans(now)
 	if ask.Window > 0 {
 		k.holder.setWindow(now, ask.Window)
@@ -63,7 +63,7 @@
 	if ask.Stamp == 0 {
 		told.Life = k.began
 	}
-	if until := k.timeOf(ask.Stamp).Add(LoanLasts); ask.Stamp != 0 && until > now {
+	if until := k.timeOf(ask.Stamp).Add(LoanDuration); ask.Stamp != 0 && until > now {
 		told.Held = k.lend(now, m, ask, until)
 	}
 	for _, need := range ask.Needs {
@@ -74,15 +74,15 @@
 }
 
 // stamp is a time as messages have it, a little before it at the most.
-func (k *Keeper) stamp(now core.Time) core.QuotaStamp {
+func (k *Granter) stamp(now core.Time) core.QuotaStamp {
 	return core.QuotaStamp(now.Sub(k.began)/time.Millisecond) + 1
 }
 
-func (k *Keeper) timeOf(stamp core.QuotaStamp) core.Time {
+func (k *Granter) timeOf(stamp core.QuotaStamp) core.Time {
 	return k.began.Add(time.Duration(stamp-1) * time.Millisecond)
 }
 
-func (k *Keeper) member(now core.Time, name core.HostID) *member {
+func (k *Granter) member(now core.Time, name core.HostID) *member {
 	m := k.members[name]
 	if m == nil {
 		m = &member{}
@@ -91,7 +91,7 @@
 	}
 	if k.began == 0 {
 		k.began = now
-		k.nextEnd = min(k.nextEnd, now.Add(GrantLasts))
+		k.nextEnd = min(k.nextEnd, now.Add(GrantLifetime))
 	}
 	m.heardAt = now
 	return m
@@ -99,7 +99,7 @@
 
 // lend takes in what a router lends until a time. It returns the slots of the router that
 // the keeper holds already, if the router asks that it goes on holding them.
-func (k *Keeper) lend(now core.Time, m *member, ask core.QuotaAsk, until core.Time) (held int) {
+func (k *Granter) lend(now core.Time, m *member, ask core.QuotaAsk, until core.Time) (held int) {
 	changed := false
 	switch {
 	case ask.Slots > 0 && ask.Routers > 0:
@@ -123,7 +123,7 @@
 }
 
 // endLoans ends the loans that were not renewed, each at its time.
-func (k *Keeper) endLoans(now core.Time) {
+func (k *Granter) endLoans(now core.Time) {
 	for k.nextEnd <= now {
 		at := k.nextEnd
 		k.nextEnd = core.Never
@@ -146,12 +146,12 @@
 }
 
 // lastsFrom is when what a router lends has been held for a window.
-func (k *Keeper) lastsFrom(m *member) core.Time {
-	return m.since.Add(k.holder.window + GrantLasts)
+func (k *Granter) lastsFrom(m *member) core.Time {
+	return m.since.Add(k.holder.window + GrantLifetime)
 }
 
 // sumShares adds up what is lent.
-func (k *Keeper) sumShares(now core.Time) {
+func (k *Granter) sumShares(now core.Time) {
 	sum, lasting := 0.0, 0.0
 	for _, name := range sortedKeys(k.members) {
 		m := k.members[name]
@@ -161,7 +161,7 @@
 			lasting += share
 		}
 	}
-	if now < k.began.Add(GrantLasts) {
+	if now < k.began.Add(GrantLifetime) {
 		// What the last life granted may still be used.
 		sum, lasting = 0, 0
 	}
@@ -173,7 +173,7 @@
 
 // recount works out from time to time how many routers shares are even among. A router that
 // was lost counts for memberKept.
-func (k *Keeper) recount(now core.Time) {
+func (k *Granter) recount(now core.Time) {
 	if now.Sub(k.countedAt) < recountInterval || now.Sub(k.began) < settleTime {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // answer grants what a router needs, or tells when there will be room.
-func (k *Keeper) answer(now core.Time, need core.QuotaNeed, told *core.QuotaTold) {
+func (k *Granter) answer(now core.Time, need core.QuotaNeed, told *core.QuotaTold) {
 	b := k.holder.bucket(now, need.Account)
 	if b == nil {
 		told.Unknown = append(told.Unknown, need.Account)
@@ -218,7 +218,7 @@
 // grantAhead grants what a router expects to need soon, up to half of what there is beyond
 // the reserve: the other half is for the routers that ask next. Less than half of what was
 // asked for would go to waste where requests are larger.
-func (k *Keeper) grantAhead(b *bucket, reserve, ahead float64) int64 {
+func (k *Granter) grantAhead(b *bucket, reserve, ahead float64) int64 {
 	granted := min(ahead, (k.holder.left(b)-reserve)/2)
 	if granted < max(1, ahead/2) {
 		return 0
@@ -227,7 +227,7 @@
 	return int64(granted)
 }
 
-func (k *Keeper) queue(account string) *queue {
+func (k *Granter) queue(account string) *queue {
 	q := k.queues[account]
 	if q == nil {
 		q = &queue{}
@@ -251,7 +251,7 @@
 }
 
 // KeptState is the dump of an account whose bound a loader keeps.
-type KeptState struct {
+type GranterState struct {
 	Account string
 	// Most is the largest use within a window, Left what the loader has to grant, and
 	// Given what it granted lately.
@@ -259,18 +259,18 @@
 }
 
 // Share is the part of all bounds that routers lend the keeper, from 0 to 1.
-func (k *Keeper) Share(now core.Time) float64 {
+func (k *Granter) Share(now core.Time) float64 {
 	k.endLoans(now)
 	return k.holder.share
 }
 
 // Dump returns the state of all accounts, by name.
-func (k *Keeper) Dump(now core.Time) []KeptState {
+func (k *Granter) Dump(now core.Time) []GranterState {
 	k.endLoans(now)
-	var states []KeptState
+	var states []GranterState
 	for _, name := range sortedKeys(k.holder.buckets) {
 		b := k.holder.bucket(now, name)
-		states = append(states, KeptState{Account: name, Most: b.most, Left: k.holder.left(b), Given: b.given.Total(now)})
+		states = append(states, GranterState{Account: name, Most: b.most, Left: k.holder.left(b), Given: b.given.Total(now)})
 	}
 	return states
 }
--- a/internal/quota/loan.go
+++ b/internal/quota/loan.go
@@ -16,7 +16,7 @@
 	usable := func(name core.HostID) bool { return slices.Contains(loaders, name) && now >= g.silent[name] }
 	for _, l := range slices.Clone(g.links) {
 		if !usable(l.name) {
-			g.Lost(l.name)
+			g.Disconnected(l.name)
 		}
 	}
 	for _, name := range loaders {
@@ -40,13 +40,13 @@
 	rank := func(name core.HostID) int { return slices.Index(order, name) }
 	last := slices.MaxFunc(g.links, func(a, b *link) int { return rank(a.name) - rank(b.name) })
 	if rank(name) < rank(last.name) {
-		g.Lost(last.name)
+		g.Disconnected(last.name)
 		g.links = append(g.links, &link{name: name, limits: map[string]bool{}})
 	}
 }
 
 // Lost forgets a loader whose connection has ended: the next one may be a new process's.
-func (g *Gate) Lost(name core.HostID) {
+func (g *Gate) Disconnected(name core.HostID) {
 	if l := g.link(name); l != nil {
 		g.drop(l)
 		g.links = slices.DeleteFunc(slices.Clone(g.links), func(other *link) bool { return other == l })
@@ -75,7 +75,7 @@
 	for _, l := range slices.Clone(g.links) {
 		if len(l.sent) > 0 && now.Sub(l.sent[0].at) >= silentAfter {
 			g.silent[l.name] = now.Add(silentFor)
-			g.Lost(l.name)
+			g.Disconnected(l.name)
 		}
 	}
 	for name, until := range g.silent {
@@ -114,7 +114,7 @@
 	for i := range g.slots {
 		s := &g.slots[i]
 		if s.to == "" && s.last == l.name && s.life != l.life && now < s.until {
-			s.until = min(s.until, now.Add(GrantLasts))
+			s.until = min(s.until, now.Add(GrantLifetime))
 		}
 	}
 }
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -17,7 +17,7 @@
 		bounds := Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 1500, Routers: 3}
 		limits := map[string]Limit{"a": {Rate: 300, Burst: 300}}
 		w := newWorld(bounds, limits, 3, rapid.IntRange(2, 4).Draw(t, "loaders"))
-		h := history{T: t, world: w, most: bounds.Most(limits["a"])}
+		h := history{T: t, world: w, most: bounds.MaxUse(limits["a"])}
 		h.pass(4 * time.Second)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			h.fault()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -54,13 +54,13 @@
 	Slots = 3
 	// LoanLasts is how long a loan lasts. It is several renewInterval and less than the time
 	// for which what is usually asked fits into what is left.
-	LoanLasts = 600 * time.Millisecond
+	LoanDuration = 600 * time.Millisecond
 	// GrantLasts is how long granted tokens may be used, from the question on.
-	GrantLasts = 250 * time.Millisecond
+	GrantLifetime = 250 * time.Millisecond
 	// renewInterval is the time between two questions to a loader at the most.
 	renewInterval = 200 * time.Millisecond
 	// returnsAfter is how long after it was renewed last a share that was lent comes back.
-	returnsAfter = LoanLasts + GrantLasts
+	returnsAfter = LoanDuration + GrantLifetime
 	// reserveLasts is for how long after a large request was refused others wait for its sake.
 	reserveLasts = time.Second
 	// settleTime is how long a loader has counted routers before it tells their number:
@@ -104,6 +104,6 @@
 }
 
 // Most is the largest use within a window that the bounds allow.
-func (b Bounds) Most(l Limit) float64 {
+func (b Bounds) MaxUse(l Limit) float64 {
 	return (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -17,7 +17,7 @@
 
 func TestAccountWithoutALimit(t *testing.T) {
 	g := NewGate(testBounds())
-	if d := g.Admit(start, 1, "a", 1e9); d.Outcome != Admitted || d.Rule != RuleFree || g.Counts() {
+	if d := g.Admit(start, 1, "a", 1e9); d.Outcome != Admitted || d.Rule != RuleUnlimited || g.HasLimits() {
 		t.Errorf("%+v", d)
 	}
 }
@@ -39,7 +39,7 @@
 // admitted, and the refusals must tell a time at which there is room.
 func TestBoundHolds(t *testing.T) {
 	w := newFleet()
-	most := testBounds().Most(testLimit["a"])
+	most := testBounds().MaxUse(testLimit["a"])
 	for i := range 800 {
 		for range 10 {
 			w.ask(i%28, "a", 700)
@@ -61,7 +61,7 @@
 	for range 1000 {
 		w.ask(0, "a", 5000)
 		w.run(50 * time.Millisecond)
-		r.gate.Return(w.now, "a", 5000, r.last.Until)
+		r.gate.Refund(w.now, "a", 5000, r.last.Until)
 	}
 	if r.refused > 0 || r.admitted != 1000*5000 {
 		t.Errorf("admitted %.0f, refused %.0f: %+v", r.admitted, r.refused, r.last)
@@ -123,7 +123,7 @@
 		w.ask(0, "a", 200)
 		w.run(10 * time.Millisecond)
 	}
-	most := testBounds().Most(testLimit["a"]) / 28
+	most := testBounds().MaxUse(testLimit["a"]) / 28
 	if r.admitted == 0 || r.admitted > most {
 		t.Errorf("%.0f admitted in a second, want up to %.0f", r.admitted, most)
 	}
@@ -147,9 +147,9 @@
 // A lower limit comes while the account is busy: it must bind at once, and an older one
 // that comes late must not undo it.
 func TestLimitsGoForwardOnly(t *testing.T) {
-	k := NewKeeper()
+	k := NewGranter()
 	tell := func(version int64, most float64) {
-		k.Ask(start, "r", core.QuotaAsk{Window: 8 * time.Second, Limits: []core.QuotaLimit{{Account: "a", Version: version, Most: most}}})
+		k.HandleAsk(start, "r", core.QuotaAsk{Window: 8 * time.Second, Limits: []core.QuotaLimit{{Account: "a", Version: version, Most: most}}})
 	}
 	tell(2, 800)
 	tell(3, 80)
@@ -199,7 +199,7 @@
 func TestWaitingRequestsTakeNoTokens(t *testing.T) {
 	w := newFleet()
 	r := w.routers[0]
-	r.gate.Return(w.now, "a", 500, w.now.Add(time.Minute))
+	r.gate.Refund(w.now, "a", 500, w.now.Add(time.Minute))
 	w.ask(0, "a", 700) // waits for what it lacks
 	w.ask(0, "a", 100) // would have enough
 	if hand := r.gate.inHand(w.now, r.gate.accounts["a"]); hand != 500 {
@@ -261,18 +261,18 @@
 // Guards against a loan that ends later at its loader than at its router, as its message was
 // held up on the way.
 func TestLoanCountsFromTheLoadersOwnTime(t *testing.T) {
-	k := NewKeeper()
-	first := k.Ask(start, "r", core.QuotaAsk{Number: 1, Window: 8 * time.Second})
-	late := start.Add(LoanLasts - 50*time.Millisecond)
-	k.Ask(late, "r", core.QuotaAsk{Number: 2, Stamp: first.Stamp, Slots: Slots, Routers: 1})
+	k := NewGranter()
+	first := k.HandleAsk(start, "r", core.QuotaAsk{Number: 1, Window: 8 * time.Second})
+	late := start.Add(LoanDuration - 50*time.Millisecond)
+	k.HandleAsk(late, "r", core.QuotaAsk{Number: 2, Stamp: first.Stamp, Slots: Slots, Routers: 1})
 	if share := k.Share(late); share != 1 {
 		t.Errorf("lent %.2f", share)
 	}
-	if share := k.Share(start.Add(LoanLasts)); share != 0 {
+	if share := k.Share(start.Add(LoanDuration)); share != 0 {
 		t.Errorf("lent %.2f after the loan's time", share)
 	}
-	k.Ask(start.Add(LoanLasts), "r", core.QuotaAsk{Number: 3, Stamp: first.Stamp, Slots: Slots, Routers: 1})
-	if share := k.Share(start.Add(LoanLasts)); share != 0 {
+	k.HandleAsk(start.Add(LoanDuration), "r", core.QuotaAsk{Number: 3, Stamp: first.Stamp, Slots: Slots, Routers: 1})
+	if share := k.Share(start.Add(LoanDuration)); share != 0 {
 		t.Errorf("a loan that was over when it came is %.2f", share)
 	}
 }
@@ -283,8 +283,8 @@
 	w := newFleet()
 	r := w.routers[0]
 	w.ask(0, "a", 700)
-	r.pausedUntil = w.now.Add(GrantLasts)
-	w.run(GrantLasts + 200*time.Millisecond)
+	r.pausedUntil = w.now.Add(GrantLifetime)
+	w.run(GrantLifetime + 200*time.Millisecond)
 	if hand := r.gate.inHand(w.now, r.gate.accounts["a"]); hand >= 700 {
 		t.Errorf("%.0f in hand of an answer that came too late", hand)
 	}
@@ -313,7 +313,7 @@
 	}
 	before := other.keeper.Share(w.now)
 	w.startLoader(slices.Index(w.loaders, ended))
-	for began := w.now; w.now.Sub(began) < GrantLasts; w.run(10 * time.Millisecond) {
+	for began := w.now; w.now.Sub(began) < GrantLifetime; w.run(10 * time.Millisecond) {
 		if share := other.keeper.Share(w.now); share > before {
 			t.Fatalf("the other has %.3f of the bounds after %v, %.3f before", share, w.now.Sub(began), before)
 		}
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -49,7 +49,7 @@
 
 type testLoader struct {
 	name        core.HostID
-	keeper      *Keeper
+	keeper      *Granter
 	life        int
 	pausedUntil core.Time
 	// cut are the routers whose path is cut, until a time.
@@ -95,17 +95,17 @@
 // startLoader begins a loader's process anew.
 func (w *world) startLoader(i int) {
 	l := w.loaders[i]
-	l.keeper = NewKeeper()
+	l.keeper = NewGranter()
 	l.life++
 	l.pausedUntil = 0
 	for _, r := range w.routers {
-		r.gate.Lost(l.name)
+		r.gate.Disconnected(l.name)
 	}
 }
 
 // breakOff ends the connection between a router and a loader.
 func (w *world) breakOff(router, loader int) {
-	w.routers[router].gate.Lost(w.loaders[loader].name)
+	w.routers[router].gate.Disconnected(w.loaders[loader].name)
 	w.words = slices.DeleteFunc(w.words, func(x testWord) bool { return x.router == router && x.loader == loader })
 }
 
@@ -114,7 +114,7 @@
 	r := w.routers[router]
 	w.keys++
 	d := r.gate.Admit(w.now, w.keys, account, cost)
-	if d.Outcome == Waits {
+	if d.Outcome == Queued {
 		r.waiting[w.keys] = cost
 	} else {
 		w.decided(r, cost, d)
@@ -193,11 +193,11 @@
 		case x.at > w.now || w.now < l.cut[x.router] || x.ask != nil && w.now < l.pausedUntil || x.told != nil && w.now < r.pausedUntil:
 			w.words = append(w.words, x)
 		case x.ask != nil:
-			x.told = l.keeper.Ask(w.now, r.name, *x.ask)
+			x.told = l.keeper.HandleAsk(w.now, r.name, *x.ask)
 			x.at, x.ask = w.now.Add(wayTime), nil
 			w.words = append(w.words, x)
 		default:
-			r.gate.Hear(w.now, l.name, *x.told)
+			r.gate.HandleAnswer(w.now, l.name, *x.told)
 			w.talk(x.router)
 		}
 	}
--- a/internal/registry/reader.go
+++ b/internal/registry/reader.go
@@ -52,7 +52,7 @@
 }
 
 // SetPause replaces the longest pause from the next time on.
-func (r *Reader) SetPause(pause time.Duration) { r.pause = pause }
+func (r *Reader) SetMaxInterval(pause time.Duration) { r.pause = pause }
 
 // SetReaders tells how many routers read the registry and hear of each other's reads.
 func (r *Reader) SetReaders(n int) { r.readers = n }
@@ -100,7 +100,7 @@
 // It guards against an answer that was overtaken by another router's news: what it
 // says of a server may be older than what is known.
 func (r *Reader) ReadChanges(now core.Time, from int64, to core.StorePosition) Reading {
-	reading := r.Hear(now, from, to)
+	reading := r.PeerReadChanges(now, from, to)
 	if reading == Stale && to.Compare(r.known) >= 0 && to.Era == r.known.Era {
 		r.fresh(now)
 	}
@@ -120,11 +120,11 @@
 // changes of the newer era fit what is known by their numbers only, and those of the older
 // one would hide the newer. The first word of a newer era makes the next read one of the
 // whole.
-func (r *Reader) Hear(now core.Time, from int64, to core.StorePosition) Reading {
+func (r *Reader) PeerReadChanges(now core.Time, from int64, to core.StorePosition) Reading {
 	switch {
 	case r.known.Revision == 0:
 	case to.Era > r.known.Era:
-		r.Forget(now)
+		r.RequireFullRead(now)
 	case to.Era == r.known.Era && from <= r.known.Revision && to.Revision > r.known.Revision:
 		r.known = to
 		r.fresh(now)
@@ -135,7 +135,7 @@
 
 // Forget makes the next read one of the whole, at once: the store has discarded the
 // history since the revision that is known.
-func (r *Reader) Forget(now core.Time) { r.known.Revision, r.due = 0, now }
+func (r *Reader) RequireFullRead(now core.Time) { r.known.Revision, r.due = 0, now }
 
 // Failed notes that a read failed, and puts the next one off.
 //
@@ -152,7 +152,7 @@
 
 func (r *Reader) fresh(now core.Time) {
 	r.retry = 0
-	r.due = now.Add(time.Duration((soonest + (1-soonest)*r.Share()) * float64(r.pause)))
+	r.due = now.Add(time.Duration((soonest + (1-soonest)*r.DelayFraction()) * float64(r.pause)))
 }
 
 // Share draws a time between 0 and 1 with a density that grows exponentially, the faster the
@@ -161,7 +161,7 @@
 //
 // It guards against reads that grow with the fleet: of 385 times that are spread evenly
 // over a second, 77 lie within the 0.2 s until the first one's news are everywhere.
-func (r *Reader) Share() float64 {
+func (r *Reader) DelayFraction() float64 {
 	growth := 1 + math.Log(float64(max(1, r.readers)))
 	return math.Log1p(r.rand.Float64()*math.Expm1(growth)) / growth
 }
--- a/internal/registry/reader_test.go
+++ b/internal/registry/reader_test.go
@@ -77,7 +77,7 @@
 
 func (f *fleet) deliver(n news) {
 	for j, other := range f.readers {
-		if j != n.by && f.heard(n.by, j) && other.Hear(f.now, n.from, at(n.to)) == Current {
+		if j != n.by && f.heard(n.by, j) && other.PeerReadChanges(f.now, n.from, at(n.to)) == Current {
 			f.freshAt[j] = f.now
 		}
 	}
@@ -134,11 +134,11 @@
 	r.ReadWhole(now, at(100))
 	due := r.Due()
 	for _, news := range [][2]int64{{101, 120}, {90, 100}, {50, 60}, {100, 100}} {
-		if r.Hear(now.Add(time.Millisecond), news[0], at(news[1])) == Current || r.Due() != due {
+		if r.PeerReadChanges(now.Add(time.Millisecond), news[0], at(news[1])) == Current || r.Due() != due {
 			t.Errorf("news from %d to %d were taken at 100", news[0], news[1])
 		}
 	}
-	if r.Hear(now, 95, at(110)) != Current || r.Known() != at(110) {
+	if r.PeerReadChanges(now, 95, at(110)) != Current || r.Known() != at(110) {
 		t.Error("news that overlap were left out")
 	}
 }
@@ -149,7 +149,7 @@
 	now := core.Time(time.Hour)
 	r := NewReader(pause, 1)
 	r.ReadWhole(now, at(100))
-	r.Hear(now, 100, at(120))
+	r.PeerReadChanges(now, 100, at(120))
 	if r.ReadChanges(now, 100, at(110)) == Current || r.Known() != at(120) {
 		t.Error("an overtaken read was applied")
 	}
@@ -164,8 +164,8 @@
 	now := core.Time(time.Hour)
 	r := NewReader(pause, 1)
 	r.ReadWhole(now, at(100))
-	r.Forget(now)
-	if r.Known().Revision != 0 || r.Due() > now || r.Hear(now, 0, at(200)) == Current {
+	r.RequireFullRead(now)
+	if r.Known().Revision != 0 || r.Due() > now || r.PeerReadChanges(now, 0, at(200)) == Current {
 		t.Error("the whole is not read at once")
 	}
 }
@@ -203,8 +203,8 @@
 // then misses what lies between: servers that left in that time go on getting requests.
 func TestStoreThatWentBackIsReadWhole(t *testing.T) {
 	for name, learn := range map[string]func(*Reader, core.Time) Reading{
-		"by news":          func(r *Reader, now core.Time) Reading { return r.Hear(now, 100, newer(105)) },
-		"by fitting news":  func(r *Reader, now core.Time) Reading { return r.Hear(now, 118, newer(125)) },
+		"by news":          func(r *Reader, now core.Time) Reading { return r.PeerReadChanges(now, 100, newer(105)) },
+		"by fitting news":  func(r *Reader, now core.Time) Reading { return r.PeerReadChanges(now, 118, newer(125)) },
 		"by an own answer": func(r *Reader, now core.Time) Reading { return r.ReadChanges(now, 120, newer(125)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -229,7 +229,7 @@
 func TestNothingOfAnOlderEraIsTaken(t *testing.T) {
 	r, now := NewReader(time.Second, 1), core.Time(time.Hour)
 	r.ReadWhole(now, newer(106))
-	if got := r.Hear(now, 100, at(130)); got != Stale || r.Known() != newer(106) {
+	if got := r.PeerReadChanges(now, 100, at(130)); got != Stale || r.Known() != newer(106) {
 		t.Errorf("news of the older era: %v, known %v", got, r.Known())
 	}
 	if got := r.ReadChanges(now, 106, at(130)); got != Stale || r.Known() != newer(106) {
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -48,7 +48,7 @@
 // callers is what a router knows of client accounts.
 type callers struct {
 	directory *accounts.Directory
-	refused   *accounts.Refused
+	refused   *accounts.UnknownKeys
 	// held are oldest first.
 	held []heldRequest
 	// confirmedAt is when the last look that found the configuration to be the newest
@@ -57,17 +57,17 @@
 }
 
 func newCallers() callers {
-	return callers{directory: accounts.NewDirectory(nil), refused: accounts.NewRefused(refusedLasts)}
+	return callers{directory: accounts.NewDirectory(nil), refused: accounts.NewUnknownKeys(refusedLasts)}
 }
 
 // setAccounts takes the accounts of a newer configuration. Requests that are held for it
 // are looked at again.
 func (r *Router) setAccounts(list []fleet.Account) {
 	next := accounts.NewDirectory(list)
-	dropped := r.callers.directory.Dropped(next)
+	dropped := r.callers.directory.RemovedKeys(next)
 	r.callers.refused.Clear()
 	for _, key := range dropped {
-		r.callers.refused.Drop(key)
+		r.callers.refused.AddRemoved(key)
 	}
 	r.callers.directory = next
 	if len(dropped) > 0 {
--- a/internal/router/loaders.go
+++ b/internal/router/loaders.go
@@ -147,7 +147,7 @@
 			slog.String("silent", silent.String()))
 		r.emit(Hangup{Loader: l.name})
 		l.up, l.dialing = false, false
-		r.gate.Lost(l.name)
+		r.gate.Disconnected(l.name)
 	}
 	if !l.up && !l.dialing && r.now >= l.nextDial {
 		l.dialing = true
@@ -172,7 +172,7 @@
 	if l == nil {
 		return
 	}
-	r.gate.Lost(name)
+	r.gate.Disconnected(name)
 	if l.up {
 		r.log(Belief, "loader lost", slog.String("loader", string(name)))
 	}
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -56,7 +56,7 @@
 	}
 	cost := req.account.Cost(req.prompt)
 	d := r.gate.Admit(r.now, uint64(req.key), req.account.Name, cost)
-	if d.Outcome == quota.Waits {
+	if d.Outcome == quota.Queued {
 		req.asksQuota = true
 		r.requests[req.key] = req
 		return false
@@ -116,14 +116,14 @@
 func (r *Router) leaveQuota(req *request) {
 	if req.asksQuota {
 		req.asksQuota = false
-		r.gate.Forget(req.account.Name, uint64(req.key))
+		r.gate.Cancel(req.account.Name, uint64(req.key))
 	}
 }
 
 // giveBack takes a request out of its account's use that proved not to have run.
 func (r *Router) giveBack(req *request) {
 	if req.charged > 0 {
-		r.gate.Return(r.now, req.account.Name, req.charged, req.chargedUntil)
+		r.gate.Refund(r.now, req.account.Name, req.charged, req.chargedUntil)
 		r.countUnits(req, "returned", req.charged)
 		req.charged = 0
 	}
@@ -140,7 +140,7 @@
 // quotaLoaders are the connected loaders in the order in which they are to keep the bounds:
 // the same at all routers that reach them.
 func (r *Router) quotaLoaders() []core.HostID {
-	if !r.gate.Counts() {
+	if !r.gate.HasLimits() {
 		return nil
 	}
 	if r.quotaOrder == nil {
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -13,12 +13,12 @@
 // quotaWorld is a router beside a loader that keeps the bounds of an account.
 type quotaWorld struct {
 	*world
-	keeper *quota.Keeper
+	keeper *quota.Granter
 }
 
 // newQuotaWorld returns a router that has lent its share to the loader of an engine.
 func newQuotaWorld(t *testing.T) *quotaWorld {
-	w := &quotaWorld{world: newWorld(t), keeper: quota.NewKeeper()}
+	w := &quotaWorld{world: newWorld(t), keeper: quota.NewGranter()}
 	bounds := testBounds()
 	bounds.QuotaWindow, bounds.QuotaRouters = 8*time.Second, 1
 	w.router.SetBounds(bounds)
@@ -40,7 +40,7 @@
 	asks := w.quotaAsks
 	w.quotaAsks = nil
 	for _, ask := range asks {
-		w.step(LoaderToldQuota{Loader: ask.Loader, Told: *w.keeper.Ask(w.now, "10.0.0.1", ask.Ask)})
+		w.step(LoaderToldQuota{Loader: ask.Loader, Told: *w.keeper.HandleAsk(w.now, "10.0.0.1", ask.Ask)})
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -197,7 +197,7 @@
 	case LoaderWantsSpec:
 		r.loaderWantsSpec(e.Loader)
 	case LoaderToldQuota:
-		r.gate.Hear(now, e.Loader, e.Told)
+		r.gate.HandleAnswer(now, e.Loader, e.Told)
 	case LoaderLimited:
 		r.limitTold(e)
 	case Arrived:
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -49,7 +49,7 @@
 		return
 	}
 	r.hearLimit(b, "its answer", limit.Word{
-		Named: answer.Limit.State == fleet.LimitNamed, PerSecond: answer.Limit.PerSecond,
+		Named: answer.Limit.State == fleet.LimitReported, PerSecond: answer.Limit.PerSecond,
 		Sent: req.attempt.at, Heard: r.now,
 	})
 }
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -14,15 +14,15 @@
 
 // answerLimited lets the answer of a request's server come, with what it tells of its
 // limit.
-func (w *world) answerLimited(key Key, told fleet.ToldLimit) {
+func (w *world) answerLimited(key Key, told fleet.ReportedLimit) {
 	w.t.Helper()
 	send := w.lastSend(key)
 	w.step(Answered{Key: key, Attempt: send.Attempt, Answer: fleet.Answer{Status: 200, Limit: told}})
 	w.step(Done{Key: key, Attempt: send.Attempt})
 }
 
-func limitedTo(perSecond float64) fleet.ToldLimit {
-	return fleet.ToldLimit{State: fleet.LimitNamed, PerSecond: perSecond}
+func limitedTo(perSecond float64) fleet.ReportedLimit {
+	return fleet.ReportedLimit{State: fleet.LimitReported, PerSecond: perSecond}
 }
 
 // logged returns the lines with a message.
@@ -45,7 +45,7 @@
 	w := newWorld(t)
 	w.servers(plainService, 1)
 	w.answerLimited(w.call("once", nil), limitedTo(3))
-	w.answerLimited(w.call("once", nil), fleet.ToldLimit{State: fleet.LimitMalformed, Text: "-1"})
+	w.answerLimited(w.call("once", nil), fleet.ReportedLimit{State: fleet.LimitMalformed, Text: "-1"})
 	w.run(limitLineInterval)
 
 	lines := w.logged("backend server's limit")
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -17,7 +17,7 @@
 // stop begins the end of the process, by which each request must have its answer.
 func (r *Router) stop(until core.Time) {
 	r.stopAt = until
-	r.gate.Leave()
+	r.gate.SetLeaving()
 	r.checkRequests()
 	r.pumpAll()
 }
