--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -11,62 +11,64 @@
 // This file decides on requests.
 
 const (
-	// leastReturn bounds the time after which a refused caller comes back: below it callers
-	// ask more often than loaders are asked again.
-	leastReturn = 100 * time.Millisecond
-	// longestReturn bounds it above: within a window of the bounds in use every bucket is
-	// filled several times over.
-	longestReturn = 8 * time.Second
-	// pauseAfter is how long after loaders had no room the next question to them is at the
-	// latest. Until then requests are refused at once.
-	pauseAfter = 250 * time.Millisecond
-	// busyFor is how long after a refusal an account counts as being at its bound: what waits
-	// then takes the tokens of requests that could be in time.
-	busyFor = 2 * time.Second
-	// shortRoom is how soon a loader has to have room for requests to wait for it, and
-	// shortWait for how long they do: less than a caller who is refused stays away.
-	shortRoom = 250 * time.Millisecond
-	shortWait = 500 * time.Millisecond
-	// longestWait is how long a request waits while this router's share is on its way back
-	// from loaders that are gone, and nobody else has any.
-	longestWait = returnsAfter + gapLasts/2
-	// gapLasts is how long after that requests go on waiting: several times as long as it
-	// takes until those are served that have waited.
-	gapLasts = 2 * time.Second
-	// emptyPause is the time between two questions to loaders that hold nothing.
-	emptyPause = 100 * time.Millisecond
-	// maxWaiting bounds the requests that wait at once.
+	// minRetryAfter is the smallest retry delay given to a refused caller: with less,
+	// callers retry more often than loaders are asked again.
+	minRetryAfter = 100 * time.Millisecond
+	// maxRetryAfter is the largest retry delay: every bucket refills several times within a
+	// window of the bounds in use.
+	maxRetryAfter = 8 * time.Second
+	// maxAskDelay is the longest time for which loaders are not asked again after they had
+	// no room. Requests that arrive in that time are refused at once.
+	maxAskDelay = 250 * time.Millisecond
+	// atLimitPeriod is how long after a refusal an account counts as being at its bound.
+	// Requests do not wait in that time, since they would take the tokens of requests that
+	// can still be answered in time.
+	atLimitPeriod = 2 * time.Second
+	// nearRoom is how soon a loader must have room for requests to wait for it, and
+	// nearRoomWait how long they wait: less than the retry delay of a refused caller.
+	nearRoom     = 250 * time.Millisecond
+	nearRoomWait = 500 * time.Millisecond
+	// maxWait is how long a request waits while this router's share is returning from
+	// loaders that are gone and no other process holds a share.
+	maxWait = returnDelay + gapDuration/2
+	// gapDuration is how long requests continue to wait after such a gap: several times as
+	// long as it takes to serve the requests that waited during it.
+	gapDuration = 2 * time.Second
+	// emptyAskInterval is the time between two token requests to loaders that hold no
+	// share.
+	emptyAskInterval = 100 * time.Millisecond
+	// maxWaiting is the largest number of requests that wait at once.
 	maxWaiting = 1024
-	// demandMemory is the time constant of what is asked for.
-	demandMemory = 2 * time.Second
+	// demandTimeConstant is the time constant of the moving average of the demand.
+	demandTimeConstant = 2 * time.Second
 )
 
-// Outcome is what becomes of a request.
+// Outcome is the result of the admission of a request.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Refused: the account has no room, as far as known.
+	// Refused: as far as this router can tell, the account has no room.
 	Refused Outcome = iota
 	// Admitted: the request's tokens are taken.
 	Admitted
-	// Waits: a Verdict follows.
+	// Queued: the request waits, and a Verdict follows.
 	Queued
 )
 
-// Decision is what becomes of a request.
+// Decision is the result of the admission of a request, with its grounds.
 type Decision struct {
 	Outcome Outcome
-	// RetryAfter is when the account has room, of a refused one.
+	// RetryAfter is the time until the account has room for a refused request.
 	RetryAfter time.Duration
-	// Rule is what decided, Hold what this router had in hand, and Share the part of all
-	// bounds that it holds itself; all for logs, and the last two left out of requests that
-	// are admitted at once.
+	// Rule is the reason for the decision, Hold the amount of tokens that this router had,
+	// and Share the part of all bounds that it holds itself. They are for logs; Hold and
+	// Share are not set for requests that are admitted at once.
 	Rule  Rule
 	Hold  float64
 	Share float64
-	// Until is when the tokens of an admitted request run out: until then Return gives them
-	// back.
+	// Until is when the tokens of an admitted request expire. Before that, Refund gives
+	// them back.
 	Until core.Time
 }
 
@@ -76,33 +78,35 @@
 	Decision
 }
 
-// Rule names what a decision rests on.
+// Rule is the reason for a decision.
 type Rule string
 
 // The rules.
 const (
-	// RuleFree: the account has no bound.
+	// RuleUnlimited: the account has no bound.
 	RuleUnlimited Rule = "no limit"
-	// RuleHold: this router has the tokens.
+	// RuleLocalTokens: this router has the tokens.
 	RuleLocalTokens Rule = "tokens in hand"
 	// RuleLoaders: the loaders have no room.
 	RuleLoaders Rule = "loaders without room"
-	// RuleAlone: no loader can be asked, and this router's own share has no room.
+	// RuleOwnShare: no loader can be asked, and this router's own share has no room.
 	RuleOwnShare Rule = "own share without room"
-	// RuleNobody: this router's share has not come back, and nobody else has any.
+	// RuleNoHolder: this router's share has not returned, and no other process holds a
+	// share.
 	RuleNoHolder Rule = "nobody holds a share"
-	// RuleCrowd: too many requests wait.
+	// RuleQueueFull: too many requests wait.
 	RuleQueueFull Rule = "too many wait"
 )
 
-// Admit decides on a request that counts so much. The key tells it apart from all others.
+// Admit decides on a request that costs so many tokens of the account with the given name.
+// The key must be unique among the requests.
 func (g *Gate) Admit(now core.Time, key uint64, name string, cost float64) Decision {
 	a := g.accounts[name]
 	if a == nil {
 		return Decision{Outcome: Admitted, Rule: RuleUnlimited}
 	}
-	a.asked.add(now, cost)
-	g.place(now)
+	a.demand.add(now, cost)
+	g.placeSlots(now)
 	if len(a.waiting) == 0 {
 		if until, ok := g.take(now, a, cost); ok {
 			return Decision{Outcome: Admitted, Rule: RuleLocalTokens, Until: until}
@@ -111,21 +115,21 @@
 	switch {
 	case now < a.roomAt && now < a.nextAsk:
 		return g.refuse(now, a, cost, RuleLoaders, a.roomAt.Sub(now))
-	case g.waits >= maxWaiting:
-		return g.refuse(now, a, cost, RuleQueueFull, leastReturn)
+	case g.waitingCount >= maxWaiting:
+		return g.refuse(now, a, cost, RuleQueueFull, minRetryAfter)
 	}
 	a.waiting = append(a.waiting, waiter{key: key, cost: cost, since: now})
-	g.waits++
+	g.waitingCount++
 	g.due = true
-	g.settle(now, a)
-	if d, ok := g.verdictOf(key); ok {
+	g.decideWaiting(now, a)
+	if d, ok := g.takeVerdict(key); ok {
 		return d
 	}
 	return Decision{Outcome: Queued}
 }
 
-// verdictOf takes the verdict on a request out of those that are to be fetched.
-func (g *Gate) verdictOf(key uint64) (Decision, bool) {
+// takeVerdict removes the verdict on a request from the pending verdicts and returns it.
+func (g *Gate) takeVerdict(key uint64) (Decision, bool) {
 	i := slices.IndexFunc(g.verdicts, func(v Verdict) bool { return v.Key == key })
 	if i < 0 {
 		return Decision{}, false
@@ -135,14 +139,14 @@
 	return d, true
 }
 
-// Verdicts returns what was decided on requests that waited, and forgets it.
+// Verdicts returns and clears the decisions on requests that waited.
 func (g *Gate) Verdicts() []Verdict {
 	verdicts := g.verdicts
 	g.verdicts = nil
 	return verdicts
 }
 
-// Forget forgets a request that waits: its caller has left.
+// Cancel removes a waiting request whose caller has left.
 func (g *Gate) Cancel(name string, key uint64) {
 	a := g.accounts[name]
 	if a == nil {
@@ -150,61 +154,60 @@
 	}
 	before := len(a.waiting)
 	a.waiting = slices.DeleteFunc(a.waiting, func(w waiter) bool { return w.key == key })
-	g.waits -= before - len(a.waiting)
+	g.waitingCount -= before - len(a.waiting)
 }
 
-// Return gives back what a request counted that proved not to have run, as long as its
-// tokens could be used.
+// Refund gives back the tokens of a request that did not run, unless they have expired.
 func (g *Gate) Refund(now core.Time, name string, cost float64, until core.Time) {
 	if a := g.accounts[name]; a != nil && now < until {
-		a.hold = append(a.hold, tokens{amount: cost, until: until})
+		a.granted = append(a.granted, tokens{amount: cost, until: until})
 	}
 }
 
-// settle decides on the requests of an account that wait, as far as it can be told.
-func (g *Gate) settle(now core.Time, a *account) {
-	g.dropLate(now, a)
+// decideWaiting decides on an account's waiting requests as far as it can at this time.
+func (g *Gate) decideWaiting(now core.Time, a *account) {
+	g.timeOutAsks(now, a)
 	g.admitWaiting(now, a)
 	if len(a.waiting) == 0 {
-		a.refused = a.refused[:0]
+		a.refusals = a.refusals[:0]
 		return
 	}
-	if len(a.open) > 0 || g.asksMore(now, a) {
+	if len(a.pending) > 0 || g.canAskMore(now, a) {
 		return
 	}
 	if len(g.links) == 0 && g.home.share > 0 {
-		g.settleAlone(now, a)
+		g.decideFromOwnShare(now, a)
 		return
 	}
-	if g.nobodyHolds(now, a) {
-		g.gapUntil = now.Add(gapLasts)
+	if g.noShareHeld(now, a) {
+		g.gapUntil = now.Add(gapDuration)
 	}
 	if now < g.gapUntil {
-		a.refused = a.refused[:0]
-		a.nextAsk = max(a.nextAsk, now.Add(emptyPause))
-		g.refuseLate(now, a)
+		a.refusals = a.refusals[:0]
+		a.nextAsk = max(a.nextAsk, now.Add(emptyAskInterval))
+		g.refuseExpired(now, a)
 		return
 	}
-	room := a.room()
-	atBound := a.refusedAt != 0 && now.Sub(a.refusedAt) < busyFor
-	if !atBound && room <= shortRoom && now.Sub(a.waiting[0].since) < shortWait {
-		a.refused = a.refused[:0]
+	room := a.earliestRoom()
+	atBound := a.refusedAt != 0 && now.Sub(a.refusedAt) < atLimitPeriod
+	if !atBound && room <= nearRoom && now.Sub(a.waiting[0].since) < nearRoomWait {
+		a.refusals = a.refusals[:0]
 		a.nextAsk = now.Add(room)
 		return
 	}
 	g.refuseAll(now, a, room)
 }
 
-// room is when the first of the loaders that refused has room.
-func (a *account) room() time.Duration {
-	room := longestReturn
-	for _, r := range a.refused {
+// earliestRoom is the shortest time after which one of the loaders that refused has room.
+func (a *account) earliestRoom() time.Duration {
+	room := maxRetryAfter
+	for _, r := range a.refusals {
 		room = min(room, r.room)
 	}
 	return room
 }
 
-// admitWaiting admits those that wait, in their order, as far as there are tokens.
+// admitWaiting admits waiting requests in order of arrival while there are tokens for them.
 func (g *Gate) admitWaiting(now core.Time, a *account) {
 	for len(a.waiting) > 0 {
 		w := a.waiting[0]
@@ -212,87 +215,87 @@
 		if !ok {
 			break
 		}
-		g.next(a)
-		g.decide(w.key, Decision{Outcome: Admitted, Rule: RuleLocalTokens, Hold: g.inHand(now, a), Share: g.home.share, Until: until})
+		g.popWaiting(a)
+		g.addVerdict(w.key, Decision{Outcome: Admitted, Rule: RuleLocalTokens, Hold: g.available(now, a), Share: g.home.share, Until: until})
 	}
 }
 
-// next takes the first request that waits out of the list.
-func (g *Gate) next(a *account) {
+// popWaiting removes the first waiting request.
+func (g *Gate) popWaiting(a *account) {
 	a.waiting = a.waiting[1:]
-	g.waits--
+	g.waitingCount--
 }
 
-// nobodyHolds tells that neither this router nor a loader that it can ask holds a share now,
-// and that this passes.
-func (g *Gate) nobodyHolds(now core.Time, a *account) bool {
-	if slices.ContainsFunc(a.refused, func(r refusal) bool { return r.share > 0 }) {
+// noShareHeld reports whether neither this router nor a loader that it can ask holds a
+// share and this is temporary.
+func (g *Gate) noShareHeld(now core.Time, a *account) bool {
+	if slices.ContainsFunc(a.refusals, func(r refusal) bool { return r.share > 0 }) {
 		return false
 	}
 	if len(g.links) > 0 {
 		return true
 	}
-	return slices.ContainsFunc(g.slots[:], func(s slot) bool { return !g.isHome(now, s) })
+	return slices.ContainsFunc(g.slots[:], func(s slot) bool { return !g.isLocal(now, s) })
 }
 
-// refuseLate refuses those that have waited for too long.
-func (g *Gate) refuseLate(now core.Time, a *account) {
-	for len(a.waiting) > 0 && now.Sub(a.waiting[0].since) >= longestWait {
+// refuseExpired refuses the requests that have waited for maxWait.
+func (g *Gate) refuseExpired(now core.Time, a *account) {
+	for len(a.waiting) > 0 && now.Sub(a.waiting[0].since) >= maxWait {
 		w := a.waiting[0]
-		g.next(a)
-		g.decide(w.key, g.refuse(now, a, w.cost, RuleNoHolder, returnsAfter))
+		g.popWaiting(a)
+		g.addVerdict(w.key, g.refuse(now, a, w.cost, RuleNoHolder, returnDelay))
 	}
 }
 
-// settleAlone keeps those waiting for which this router's own share makes tokens in time,
-// and refuses the others.
-func (g *Gate) settleAlone(now core.Time, a *account) {
+// decideFromOwnShare keeps the waiting requests for which this router's own share generates
+// tokens in time, and refuses the others.
+func (g *Gate) decideFromOwnShare(now core.Time, a *account) {
 	b := g.home.bucket(now, a.name)
 	all := a.waiting
 	a.waiting = nil
 	ahead := 0.0
 	for _, w := range all {
-		room := g.home.roomIn(b, ahead+w.cost)
-		if w.cost <= depthShare*g.home.share*a.most && now.Sub(w.since)+room < longestWait {
+		room := g.home.timeUntil(b, ahead+w.cost)
+		if w.cost <= depthShare*g.home.share*a.maxUse && now.Sub(w.since)+room < maxWait {
 			ahead += w.cost
 			a.waiting = append(a.waiting, w)
 			continue
 		}
-		g.waits--
-		g.decide(w.key, g.refuse(now, a, w.cost, RuleOwnShare, room))
+		g.waitingCount--
+		g.addVerdict(w.key, g.refuse(now, a, w.cost, RuleOwnShare, room))
 	}
 }
 
-// refuseAll refuses all that wait, and lets some time pass before loaders are asked again.
+// refuseAll refuses all waiting requests and delays the next token request to the loaders.
 func (g *Gate) refuseAll(now core.Time, a *account, room time.Duration) {
-	a.roomAt, a.nextAsk, a.refusedAt = now.Add(room), now.Add(min(room, pauseAfter)), now
-	a.refused = a.refused[:0]
+	a.roomAt, a.nextAsk, a.refusedAt = now.Add(room), now.Add(min(room, maxAskDelay)), now
+	a.refusals = a.refusals[:0]
 	for len(a.waiting) > 0 {
 		w := a.waiting[0]
-		g.next(a)
-		g.decide(w.key, g.refuse(now, a, w.cost, RuleLoaders, room))
+		g.popWaiting(a)
+		g.addVerdict(w.key, g.refuse(now, a, w.cost, RuleLoaders, room))
 	}
 }
 
-// refuse returns a refusal of a request, and when its caller should return: one after the
-// other, as this router's part of the tokens allows.
+// refuse returns a refusal whose retry delay spreads the refused callers out at the rate of
+// this router's part of the tokens.
 func (g *Gate) refuse(now core.Time, a *account, cost float64, rule Rule, room time.Duration) Decision {
-	seconds := cost * float64(g.assumedRouters()) / max(1, g.home.rate(a.most))
+	seconds := cost * float64(g.assumedRouters()) / max(1, g.home.rate(a.maxUse))
 	return Decision{
-		Outcome: Refused, RetryAfter: a.returning.after(now, room, seconds),
-		Rule: rule, Hold: g.inHand(now, a), Share: g.home.share,
+		Outcome: Refused, RetryAfter: a.retries.delay(now, room, seconds),
+		Rule: rule, Hold: g.available(now, a), Share: g.home.share,
 	}
 }
 
-func (g *Gate) decide(key uint64, d Decision) {
+func (g *Gate) addVerdict(key uint64, d Decision) {
 	g.verdicts = append(g.verdicts, Verdict{Key: key, Decision: d})
 }
 
-// inHand is what this router may use of an account now.
-func (g *Gate) inHand(now core.Time, a *account) float64 {
-	a.hold = slices.DeleteFunc(a.hold, func(t tokens) bool { return now >= t.until })
+// available is the number of an account's tokens that this router may use at this time.
+func (g *Gate) available(now core.Time, a *account) float64 {
+	a.granted = slices.DeleteFunc(a.granted, func(t tokens) bool { return now >= t.until })
 	sum := 0.0
-	for _, t := range a.hold {
+	for _, t := range a.granted {
 		sum += t.amount
 	}
 	if b := g.home.bucket(now, a.name); b != nil {
@@ -301,22 +304,22 @@
 	return sum
 }
 
-// take takes a request's tokens, granted ones first, if there are enough. It returns until
-// when they may be given back.
+// take takes a request's tokens if there are enough, granted ones first. It returns the
+// time until which they may be given back.
 func (g *Gate) take(now core.Time, a *account, cost float64) (until core.Time, ok bool) {
-	if g.inHand(now, a) < cost {
+	if g.available(now, a) < cost {
 		return 0, false
 	}
 	a.recent.Add(now, cost)
 	until = core.Never
-	for cost > 0 && len(a.hold) > 0 {
-		t := &a.hold[0]
+	for cost > 0 && len(a.granted) > 0 {
+		t := &a.granted[0]
 		used := min(cost, t.amount)
 		t.amount -= used
 		cost -= used
 		until = min(until, t.until)
 		if t.amount <= 0 {
-			a.hold = a.hold[1:]
+			a.granted = a.granted[1:]
 		}
 	}
 	if cost > 0 {
@@ -326,7 +329,7 @@
 	return until, true
 }
 
-// demand is a moving rate of what is asked for.
+// demand is an exponentially decaying sum of the tokens that callers ask for.
 type demand struct {
 	sum, count float64
 	at         core.Time
@@ -338,13 +341,15 @@
 	d.at = now
 }
 
-// decay is the part of a demand that is left.
+// decay is the factor by which a demand has decayed since its last update.
 func (d *demand) decay(now core.Time) float64 {
-	return math.Exp(-now.Sub(d.at).Seconds() / demandMemory.Seconds())
+	return math.Exp(-now.Sub(d.at).Seconds() / demandTimeConstant.Seconds())
 }
 
-// rate is a second's.
-func (d *demand) rate(now core.Time) float64 { return d.sum * d.decay(now) / demandMemory.Seconds() }
+// rate is the demand in tokens per second.
+func (d *demand) rate(now core.Time) float64 {
+	return d.sum * d.decay(now) / demandTimeConstant.Seconds()
+}
 
-// mean is that of one request.
+// mean is the average cost of a request.
 func (d *demand) mean() float64 { return d.sum / max(1, d.count) }
--- a/internal/quota/ask.go
+++ b/internal/quota/ask.go
@@ -8,49 +8,51 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file asks loaders for tokens.
+// This file requests tokens from loaders.
 
 const (
-	// patience is how long a question waits for its answer: some ways there and back, and a
-	// turn of a busy process.
-	patience = 150 * time.Millisecond
-	// silentAfter is how long after a question that was not answered a loader is given up,
-	// silentFor how long it is left alone then.
-	silentAfter = 400 * time.Millisecond
-	silentFor   = time.Second
-	// exchangeAfter is how long loaders keep the bounds before one is exchanged for another
-	// that is preferred: several times as long as its part is out of use then.
-	exchangeAfter = 3 * returnsAfter
-	// freshFor is how long what a loader had left tells anything.
-	freshFor = time.Second
-	// aheadTime is for how long tokens are asked for ahead, aheadLow when that much is left
-	// of them they are asked for again, and aheadLeast how many requests have to come within
-	// aheadTime for it to be worth it.
-	aheadTime  = 200 * time.Millisecond
-	aheadLow   = 100 * time.Millisecond
-	aheadLeast = 2
-	// largeShare is the part of what all loaders have at the most from which on a request is
-	// asked of all of them, by even parts: below it one of them has enough when it is full.
+	// answerTimeout is how long a token request waits for its answer: several round trips
+	// and a scheduling delay of a busy process.
+	answerTimeout = 150 * time.Millisecond
+	// unresponsiveAfter is how long after an unanswered token request a loader is dropped,
+	// and unresponsivePause how long it is not used after that.
+	unresponsiveAfter = 400 * time.Millisecond
+	unresponsivePause = time.Second
+	// exchangeAfter is how long the loaders that keep the bounds stay unchanged before one
+	// is replaced by a preferred one: several times as long as its slot is out of use then.
+	exchangeAfter = 3 * returnDelay
+	// levelMaxAge is the age up to which a loader's reported level is used.
+	levelMaxAge = time.Second
+	// aheadTime is the period for which tokens are requested in advance. They are requested
+	// again when those left last for less than aheadThreshold. No tokens are requested in
+	// advance if fewer than aheadMinRequests requests are expected within aheadTime.
+	aheadTime        = 200 * time.Millisecond
+	aheadThreshold   = 100 * time.Millisecond
+	aheadMinRequests = 2
+	// largeShare is the part of the largest total of all loaders' tokens from which on a
+	// request is split evenly over all loaders. Below it, a single full loader has enough.
 	largeShare = 0.25
 )
 
 // link is a loader that keeps the bounds and can be asked.
 type link struct {
 	name core.HostID
-	// stamp is the loader's time that it told last, 0 before its first answer, and life tells
-	// its lives apart.
+	// stamp is the loader's time in its last answer, 0 before the first answer. life
+	// identifies the loader's process: it differs after each restart.
 	stamp core.QuotaStamp
 	life  core.Time
-	// askedAt is when it was asked last, lent the slots that it was told of then.
-	askedAt core.Time
-	lent    int
-	// sent are the questions that were not answered.
+	// askedAt is the time of the last token request, lastLent the number of slots that it
+	// lent.
+	askedAt  core.Time
+	lastLent int
+	// sent are the unanswered token requests.
 	sent []sentAsk
-	// limits are the accounts whose limit it was told.
+	// limits are the accounts whose limits were sent to the loader.
 	limits map[string]bool
-	// adopts is the last question whether it holds a slot still, number 0 once that was
-	// answered: until then it may have renewed the slot's loan.
-	adopts sentAsk
+	// adoptAsk is the last message that asked whether the loader still holds a slot; its
+	// number is 0 once it is answered. Until then the loader may have renewed the loan of
+	// the slot.
+	adoptAsk sentAsk
 }
 
 type sentAsk struct {
@@ -58,14 +60,14 @@
 	at     core.Time
 }
 
-// question is one that an account's tokens were asked for with.
-type question struct {
+// pendingAsk is an unanswered token request for an account.
+type pendingAsk struct {
 	to     core.HostID
 	number uint64
 	at     core.Time
 }
 
-// refusal is a question that was answered without a grant, or not at all.
+// refusal is a token request that was answered without a grant or not answered at all.
 type refusal struct {
 	from core.HostID
 	// share is the part of all bounds that the loader holds.
@@ -73,7 +75,7 @@
 	room  time.Duration
 }
 
-// Ask is a question to a loader.
+// Ask is a message to a loader.
 type Ask struct {
 	To      core.HostID
 	Message core.QuotaAsk
@@ -88,32 +90,32 @@
 	return nil
 }
 
-// Asks returns the questions that are due.
+// Asks returns the messages to loaders that are due.
 func (g *Gate) Asks(now core.Time) []Ask {
 	if !g.due || len(g.accounts) == 0 || len(g.links) == 0 {
 		return nil
 	}
 	g.due = false
-	g.place(now)
+	g.placeSlots(now)
 	needs := g.needs(now)
 	var asks []Ask
 	for _, l := range g.links {
-		if len(needs[l.name]) > 0 || now.Sub(l.askedAt) >= g.renewInterval() || l.lent != g.lent(l) {
+		if len(needs[l.name]) > 0 || now.Sub(l.askedAt) >= g.renewInterval() || l.lastLent != g.lentSlots(l) {
 			asks = append(asks, g.ask(now, l, needs[l.name]))
 		}
 	}
 	return asks
 }
 
-// renewInterval is the time between two questions to a loader at the most.
+// renewInterval is the longest time between two messages to a loader.
 func (g *Gate) renewInterval() time.Duration {
 	if g.knownRouters() == 0 {
-		return renewInterval / 4 // the number of routers is all that this one waits for
+		return renewInterval / 4 // this router waits only for the number of routers
 	}
 	return renewInterval
 }
 
-// ask makes a question, which renews what its loader was lent.
+// ask creates a message to a loader, which also renews the loans to it.
 func (g *Gate) ask(now core.Time, l *link, needs []core.QuotaNeed) Ask {
 	g.number++
 	m := core.QuotaAsk{Number: g.number, Stamp: l.stamp, Leaving: g.leaving, Needs: needs}
@@ -121,25 +123,25 @@
 		m.Window = g.bounds.Window
 	}
 	if l.stamp != 0 {
-		m.Slots, m.Routers = g.lent(l), g.knownRouters()
-		l.lent = m.Slots
+		m.Slots, m.Routers = g.lentSlots(l), g.knownRouters()
+		l.lastLent = m.Slots
 		m.Adopt = m.Slots == 0 && slices.ContainsFunc(g.slots[:], l.mayHold)
 	}
 	if m.Adopt {
-		l.adopts = sentAsk{number: g.number, at: now}
+		l.adoptAsk = sentAsk{number: g.number, at: now}
 	}
 	for i := range g.slots {
 		if m.Slots > 0 && g.slots[i].to == l.name {
-			g.slots[i].until = now.Add(returnsAfter)
+			g.slots[i].until = now.Add(returnDelay)
 			g.slots[i].last, g.slots[i].life = l.name, l.life
 		}
 	}
 	for _, need := range needs {
-		g.openQuestion(now, l, need.Account)
+		g.addPending(now, l, need.Account)
 		if !l.limits[need.Account] {
 			l.limits[need.Account] = true
 			m.Window = g.bounds.Window
-			m.Limits = append(m.Limits, core.QuotaLimit{Account: need.Account, Version: g.version, Most: g.accounts[need.Account].most})
+			m.Limits = append(m.Limits, core.QuotaLimit{Account: need.Account, Version: g.version, Most: g.accounts[need.Account].maxUse})
 		}
 	}
 	l.askedAt = now
@@ -147,24 +149,24 @@
 	return Ask{To: l.name, Message: m}
 }
 
-func (g *Gate) openQuestion(now core.Time, l *link, name string) {
+func (g *Gate) addPending(now core.Time, l *link, name string) {
 	a := g.accounts[name]
-	a.open = append(a.open, question{to: l.name, number: g.number, at: now})
+	a.pending = append(a.pending, pendingAsk{to: l.name, number: g.number, at: now})
 }
 
-// needs are what is to be asked for now, by loader.
+// needs returns the token requests that are due, by loader.
 func (g *Gate) needs(now core.Time) map[core.HostID][]core.QuotaNeed {
 	needs := map[core.HostID][]core.QuotaNeed{}
 	for _, name := range sortedKeys(g.accounts) {
 		a := g.accounts[name]
-		if len(a.open) > 0 || now < a.nextAsk {
+		if len(a.pending) > 0 || now < a.nextAsk {
 			continue
 		}
 		cost, ahead := g.wanted(now, a)
 		if cost+ahead < 1 {
 			continue
 		}
-		if cost >= largeShare*depthShare*a.most && len(g.links) == Slots && len(a.refused) == 0 {
+		if cost >= largeShare*depthShare*a.maxUse && len(g.links) == Slots && len(a.refusals) == 0 {
 			part := core.QuotaNeed{Account: name, Cost: int64(math.Ceil(cost / Slots))}
 			for _, l := range g.links {
 				needs[l.name] = append(needs[l.name], part)
@@ -178,10 +180,11 @@
 	return needs
 }
 
-// wanted is what the first request that waits lacks, and what is expected to be used soon.
+// wanted returns the tokens that the first waiting request lacks, and those that are
+// expected to be used soon.
 func (g *Gate) wanted(now core.Time, a *account) (cost, ahead float64) {
-	rate := a.asked.rate(now)
-	hold := g.inHand(now, a)
+	rate := a.demand.rate(now)
+	hold := g.available(now, a)
 	if len(a.waiting) > 0 {
 		cost = max(1, a.waiting[0].cost-hold)
 		for _, w := range a.waiting[1:] {
@@ -189,26 +192,27 @@
 		}
 	}
 	expected := rate * aheadTime.Seconds()
-	worthIt := expected >= aheadLeast*a.asked.mean()
-	if worthIt && (cost > 0 || hold < rate*aheadLow.Seconds()) {
+	worthIt := expected >= aheadMinRequests*a.demand.mean()
+	if worthIt && (cost > 0 || hold < rate*aheadThreshold.Seconds()) {
 		ahead = max(ahead, expected-hold)
 	}
 	return cost, max(0, ahead)
 }
 
-// bestFor is the loader to ask for an account's tokens: the one that has most left, as far
-// as known, of those that have not refused in this round; nil without one.
+// bestFor returns the loader to ask for an account's tokens: of those that have not refused
+// in this round, the one with the highest known level. It returns nil if there is none.
 func (g *Gate) bestFor(now core.Time, a *account) *link {
 	var best *link
 	most := 0.0
 	for i := range g.links {
-		// By turns, so that both have the same left where nothing is known.
+		// Alternate between the loaders, so that their levels stay equal where none is
+		// known.
 		l := g.links[(i+int(g.number))%len(g.links)]
 		if a.refusedBy(l.name) {
 			continue
 		}
 		left := math.Inf(1)
-		if t, ok := a.left[l.name]; ok && now.Sub(t.at) < freshFor {
+		if t, ok := a.remaining[l.name]; ok && now.Sub(t.at) < levelMaxAge {
 			left = t.level
 		}
 		if best == nil || left > most {
@@ -219,34 +223,34 @@
 }
 
 func (a *account) refusedBy(name core.HostID) bool {
-	return slices.ContainsFunc(a.refused, func(r refusal) bool { return r.from == name })
+	return slices.ContainsFunc(a.refusals, func(r refusal) bool { return r.from == name })
 }
 
-// asksMore tells that another loader can be asked for the requests that wait.
-func (g *Gate) asksMore(now core.Time, a *account) bool {
+// canAskMore reports whether another loader can be asked for the waiting requests.
+func (g *Gate) canAskMore(now core.Time, a *account) bool {
 	l := g.bestFor(now, a)
 	if l == nil {
 		return false
 	}
-	if len(a.refused) == 0 {
+	if len(a.refusals) == 0 {
 		return true
 	}
-	// One that had too little a moment ago is not asked as well.
-	t, known := a.left[l.name]
-	return !known || now.Sub(t.at) >= pauseAfter || t.level >= a.waiting[0].cost
+	// A loader that reported too low a level a moment ago is not asked either.
+	t, known := a.remaining[l.name]
+	return !known || now.Sub(t.at) >= maxAskDelay || t.level >= a.waiting[0].cost
 }
 
-// dropLate gives up questions that were not answered in time.
-func (g *Gate) dropLate(now core.Time, a *account) {
-	for _, q := range a.open {
-		if now.Sub(q.at) >= patience {
-			a.refused = append(a.refused, refusal{from: q.to, room: leastReturn})
+// timeOutAsks counts token requests that were not answered in time as refused.
+func (g *Gate) timeOutAsks(now core.Time, a *account) {
+	for _, q := range a.pending {
+		if now.Sub(q.at) >= answerTimeout {
+			a.refusals = append(a.refusals, refusal{from: q.to, room: minRetryAfter})
 		}
 	}
-	a.open = slices.DeleteFunc(a.open, func(q question) bool { return now.Sub(q.at) >= patience })
+	a.pending = slices.DeleteFunc(a.pending, func(q pendingAsk) bool { return now.Sub(q.at) >= answerTimeout })
 }
 
-// Hear takes in a loader's answer.
+// HandleAnswer processes a loader's answer.
 func (g *Gate) HandleAnswer(now core.Time, from core.HostID, m core.QuotaTold) {
 	l := g.link(from)
 	if l == nil {
@@ -257,35 +261,35 @@
 	l.stamp = max(l.stamp, m.Stamp)
 	if m.Life != 0 {
 		l.life = m.Life
-		g.comeBack(now, l)
+		g.shortenReturn(now, l)
 	}
-	g.hearMembers(now, m.Members)
+	g.updateRouterCount(now, m.Members)
 	if m.Held > 0 {
-		g.adopted(l, m.Held)
+		g.adoptSlots(l, m.Held)
 	}
-	if m.Number >= l.adopts.number {
-		l.adopts = sentAsk{}
+	if m.Number >= l.adoptAsk.number {
+		l.adoptAsk = sentAsk{}
 	}
 	for _, name := range m.Unknown {
 		delete(l.limits, name)
 		if a := g.accounts[name]; a != nil {
-			a.close(from, m.Number)
+			a.closeAsk(from, m.Number)
 		}
 	}
 	for _, grant := range m.Grants {
 		if a := g.accounts[grant.Account]; a != nil {
-			g.hearGrant(now, a, l, m, grant, at)
+			g.applyGrant(now, a, l, m, grant, at)
 		}
 	}
-	g.place(now)
+	g.placeSlots(now)
 	for _, name := range m.Unknown {
 		if a := g.accounts[name]; a != nil {
-			g.settle(now, a)
+			g.decideWaiting(now, a)
 		}
 	}
 }
 
-// answered takes in that a question was answered, and returns when it was sent.
+// answered marks a message as answered and returns the time at which it was sent.
 func (l *link) answered(m core.QuotaTold) core.Time {
 	i := slices.IndexFunc(l.sent, func(s sentAsk) bool { return s.number == m.Number })
 	if i < 0 {
@@ -296,22 +300,22 @@
 	return at
 }
 
-func (g *Gate) hearGrant(now core.Time, a *account, l *link, m core.QuotaTold, grant core.QuotaGrant, at core.Time) {
-	wasOpen := a.close(l.name, m.Number)
-	a.left[l.name] = told{level: float64(grant.Left), at: now}
+func (g *Gate) applyGrant(now core.Time, a *account, l *link, m core.QuotaTold, grant core.QuotaGrant, at core.Time) {
+	wasOpen := a.closeAsk(l.name, m.Number)
+	a.remaining[l.name] = levelReport{level: float64(grant.Left), at: now}
 	until := at.Add(GrantLifetime)
 	if grant.Granted > 0 && now < until {
-		a.hold = append(a.hold, tokens{amount: float64(grant.Granted), until: until})
+		a.granted = append(a.granted, tokens{amount: float64(grant.Granted), until: until})
 	}
 	if wasOpen && grant.RoomMs > 0 {
-		a.refused = append(a.refused, refusal{from: l.name, share: float64(m.Share) / 1000, room: time.Duration(grant.RoomMs) * time.Millisecond})
+		a.refusals = append(a.refusals, refusal{from: l.name, share: float64(m.Share) / 1000, room: time.Duration(grant.RoomMs) * time.Millisecond})
 	}
-	g.settle(now, a)
+	g.decideWaiting(now, a)
 }
 
-// close ends a question, and tells whether it was open.
-func (a *account) close(from core.HostID, number uint64) bool {
-	before := len(a.open)
-	a.open = slices.DeleteFunc(a.open, func(q question) bool { return q.to == from && q.number == number })
-	return len(a.open) < before
+// closeAsk removes a pending token request and reports whether it was pending.
+func (a *account) closeAsk(from core.HostID, number uint64) bool {
+	before := len(a.pending)
+	a.pending = slices.DeleteFunc(a.pending, func(q pendingAsk) bool { return q.to == from && q.number == number })
+	return len(a.pending) < before
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -7,174 +7,173 @@
 	"nutmeglane.example/nutmeglane/internal/window"
 )
 
-// grantSlots and burstSlots are how finely outstanding grants and a window are counted.
+// grantSlots and burstSlots are the numbers of slots of the windows in a bucket.
 const grantSlots, burstSlots = 8, 80
 
-// holder makes tokens of all accounts from the share that it holds of their bounds. The zero
-// value holds nothing.
+// holder generates the tokens of all accounts from the share of their bounds that it holds.
+// The zero value holds no share.
 //
-// What it holds and what it gave out within GrantLasts is never more than its share of the
-// depth, and what it makes is its share of the rate.
+// Its tokens, including those granted within GrantLifetime, never exceed its share of the
+// depth, and it generates tokens at its share of the rate.
 type holder struct {
 	at core.Time
 	// share is the part of all bounds that is held, from 0 to 1.
 	share float64
-	// lasting is the part of it that has been held for a window and longer.
-	lasting float64
-	// window is that of all bounds, 0 before it is known.
+	// matured is the part of share that has been held for a window or longer.
+	matured float64
+	// window is the window of all bounds, 0 before it is known.
 	window time.Duration
-	// filled is the sum of the share over time, in seconds, until at.
-	filled float64
-	// fresh is the level of an account that was never used, as a part of its bound, as of
-	// freshFilled.
-	fresh, freshFilled float64
-	buckets            map[string]*bucket
+	// shareSeconds is the integral of share over time, in seconds, up to at.
+	shareSeconds float64
+	// unusedLevel is the level of an account that was never used, as a fraction of its
+	// bound, when shareSeconds was unusedShareSeconds.
+	unusedLevel, unusedShareSeconds float64
+	buckets                         map[string]*bucket
 }
 
 // bucket is the tokens of one account.
 type bucket struct {
-	most    float64
+	maxUse  float64
 	version int64
 	level   float64
-	// filled is the holder's, as of the level.
-	filled float64
-	// refused is the cost of the largest request that was refused lately, at refusedAt.
+	// shareSeconds is the holder's value at the last update of level.
+	shareSeconds float64
+	// refused is the cost of the largest recently refused request, at refusedAt.
 	refused   float64
 	refusedAt core.Time
-	// given was granted of the level and may still be used.
-	given window.Window
-	// bursts is what was granted beyond the level, and may have been used within a window.
+	// outstanding is what was granted from level and may still be used.
+	outstanding window.Window
+	// bursts is what was granted beyond level and may have been used within a window.
 	bursts window.Window
 }
 
-// advance lets time pass.
+// advance moves the holder's time forward.
 func (h *holder) advance(now core.Time) {
 	if now > h.at {
-		h.filled += h.share * now.Sub(h.at).Seconds()
+		h.shareSeconds += h.share * now.Sub(h.at).Seconds()
 		h.at = now
 	}
 }
 
-// setShare changes what is held from now on. What the share makes no room for any more is
-// lost.
+// setShare changes the share. Tokens that exceed the depth of the new share are lost.
 func (h *holder) setShare(now core.Time, share float64) {
 	h.advance(now)
-	h.settleAll()
+	h.refillAll()
 	h.share = share
-	h.settleAll()
+	h.refillAll()
 }
 
-func (h *holder) settleAll() {
+func (h *holder) refillAll() {
 	for _, b := range h.buckets {
-		h.settle(b)
+		h.refill(b)
 	}
-	h.fresh = min(depthShare*h.share, h.fresh+h.rate(1)*(h.filled-h.freshFilled))
-	h.freshFilled = h.filled
+	h.unusedLevel = min(depthShare*h.share, h.unusedLevel+h.rate(1)*(h.shareSeconds-h.unusedShareSeconds))
+	h.unusedShareSeconds = h.shareSeconds
 }
 
-// rate is how many tokens a whole bound makes a second.
-func (h *holder) rate(most float64) float64 {
+// rate is the number of tokens per second that a whole bound generates.
+func (h *holder) rate(maxUse float64) float64 {
 	if h.window == 0 {
 		return 0
 	}
-	return rateShare * most / h.window.Seconds()
+	return rateShare * maxUse / h.window.Seconds()
 }
 
-// setWindow sets the window of all bounds from now on.
+// setWindow changes the window of all bounds.
 func (h *holder) setWindow(now core.Time, window time.Duration) {
 	if window == h.window || window <= 0 {
 		return
 	}
 	h.advance(now)
-	h.settleAll()
+	h.refillAll()
 	h.window = window
 }
 
-// settle fills a bucket up to now, as far as its depth has room.
-func (h *holder) settle(b *bucket) {
-	b.level += h.rate(b.most) * (h.filled - b.filled)
-	b.filled = h.filled
-	b.level = max(0, min(b.level, h.share*depthShare*b.most-b.given.Total(h.at)))
+// refill adds the tokens generated since the last refill, up to the depth.
+func (h *holder) refill(b *bucket) {
+	b.level += h.rate(b.maxUse) * (h.shareSeconds - b.shareSeconds)
+	b.shareSeconds = h.shareSeconds
+	b.level = max(0, min(b.level, h.share*depthShare*b.maxUse-b.outstanding.Total(h.at)))
 }
 
-// setBound sets an account's bound, unless a newer one is known. An account that is new here
-// has what it would have, had it been known and not used.
-func (h *holder) setBound(now core.Time, name string, most float64, version int64) {
+// setBound sets an account's bound unless a newer version is known. A new account gets the
+// tokens that it would have if it had been known and unused before.
+func (h *holder) setBound(now core.Time, name string, maxUse float64, version int64) {
 	h.advance(now)
 	b := h.buckets[name]
 	switch {
 	case b == nil:
-		h.settleAll()
-		b = &bucket{version: version, filled: h.filled, given: window.New(GrantLifetime, grantSlots), bursts: window.New(h.window+GrantLifetime, burstSlots)}
+		h.refillAll()
+		b = &bucket{version: version, shareSeconds: h.shareSeconds, outstanding: window.New(GrantLifetime, grantSlots), bursts: window.New(h.window+GrantLifetime, burstSlots)}
 		if h.buckets == nil {
 			h.buckets = map[string]*bucket{}
 		}
 		h.buckets[name] = b
-		b.level = h.fresh * most
+		b.level = h.unusedLevel * maxUse
 	case version < b.version:
 		return
 	default:
-		h.settle(b)
+		h.refill(b)
 	}
-	b.most, b.version = most, version
-	h.settle(b)
+	b.maxUse, b.version = maxUse, version
+	h.refill(b)
 }
 
-// bucket returns an account's bucket as of now, nil if its bound is not known.
+// bucket returns an account's refilled bucket, nil if its bound is not known.
 func (h *holder) bucket(now core.Time, name string) *bucket {
 	h.advance(now)
 	b := h.buckets[name]
 	if b != nil {
-		h.settle(b)
+		h.refill(b)
 	}
 	return b
 }
 
-// left is what can be granted now.
-func (h *holder) left(b *bucket) float64 { return b.level + h.burstLeft(b) }
+// grantable is the number of tokens that can be granted at this time.
+func (h *holder) grantable(b *bucket) float64 { return b.level + h.burstAvailable(b) }
 
-// burstLeft is what can be granted now beyond the level.
-func (h *holder) burstLeft(b *bucket) float64 {
-	return max(0, burstShare*h.lasting*b.most-b.bursts.Total(h.at))
+// burstAvailable is the number of tokens that can be granted beyond the level.
+func (h *holder) burstAvailable(b *bucket) float64 {
+	return max(0, burstShare*h.matured*b.maxUse-b.bursts.Total(h.at))
 }
 
-// grant takes tokens that may be used for GrantLasts, of the level first: what that has no
-// room for is lost.
+// grant takes tokens that may be used for GrantLifetime, from the level first: tokens that
+// the level has no room for are lost.
 func (h *holder) grant(b *bucket, tokens float64) {
 	ofLevel := min(tokens, b.level)
 	b.level -= ofLevel
-	b.given.Add(h.at, ofLevel)
+	b.outstanding.Add(h.at, ofLevel)
 	if tokens > ofLevel {
 		b.bursts.Add(h.at, tokens-ofLevel)
 	}
 }
 
-// reserve is what the holder has to have of an account before it grants anything: the cost
-// of a large request that was refused. Without it small ones would take all that is made
-// before there is ever enough for it.
+// reserve is the number of an account's tokens that the holder must have before it grants
+// any: the cost of a large request that was refused. Without it, small requests would take
+// all new tokens before there are enough for the large one.
 func (h *holder) reserve(b *bucket) float64 {
-	if h.at.Sub(b.refusedAt) >= reserveLasts {
+	if h.at.Sub(b.refusedAt) >= reserveDuration {
 		return 0
 	}
-	return min(b.refused, reserveShare*h.share*b.most)
+	return min(b.refused, reserveShare*h.share*b.maxUse)
 }
 
-// reserveFor notes that a request was refused.
-func (h *holder) reserveFor(b *bucket, cost float64) {
-	if cost >= b.refused || h.at.Sub(b.refusedAt) >= reserveLasts {
+// noteRefusal records the cost of a refused request.
+func (h *holder) noteRefusal(b *bucket, cost float64) {
+	if cost >= b.refused || h.at.Sub(b.refusedAt) >= reserveDuration {
 		b.refused, b.refusedAt = cost, h.at
 	}
 }
 
-// roomIn is how long it takes until so much can be granted, if nothing is until then.
-func (h *holder) roomIn(b *bucket, level float64) time.Duration {
-	rate := h.share * h.rate(b.most)
-	missing := level - h.left(b)
+// timeUntil is the time until so many tokens can be granted, provided that none are before.
+func (h *holder) timeUntil(b *bucket, amount float64) time.Duration {
+	rate := h.share * h.rate(b.maxUse)
+	missing := amount - h.grantable(b)
 	if missing <= 0 {
 		return 0
 	}
-	if missing > longestReturn.Seconds()*rate {
-		return longestReturn
+	if missing > maxRetryAfter.Seconds()*rate {
+		return maxRetryAfter
 	}
 	return time.Duration(missing / rate * float64(time.Second))
 }
--- a/internal/quota/loan.go
+++ b/internal/quota/loan.go
@@ -6,14 +6,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file lends this router's share to loaders, and takes it back.
+// This file lends the router's share to loaders and takes it back.
 
-// SetLoaders tells which loaders can be asked, the preferred first: the same order at all
-// routers. Those that keep the bounds are changed one after the other, so that most of this
-// router's share is in use all the while.
+// SetLoaders sets the loaders that can be asked, most preferred first; the order is the
+// same at all routers. The loaders that keep the bounds are replaced one at a time, so that
+// most of this router's share stays in use.
 func (g *Gate) SetLoaders(now core.Time, loaders []core.HostID) {
 	g.start(now)
-	usable := func(name core.HostID) bool { return slices.Contains(loaders, name) && now >= g.silent[name] }
+	usable := func(name core.HostID) bool { return slices.Contains(loaders, name) && now >= g.unresponsive[name] }
 	for _, l := range slices.Clone(g.links) {
 		if !usable(l.name) {
 			g.Disconnected(l.name)
@@ -24,19 +24,21 @@
 		case !usable(name) || g.link(name) != nil:
 		case len(g.links) < Slots:
 			g.links = append(slices.Clone(g.links), &link{name: name, limits: map[string]bool{}})
-		case g.settled(now):
-			g.exchange(name, loaders)
+		case g.stable(now):
+			g.replaceLink(name, loaders)
 		}
 	}
 }
 
-// settled tells that each loader that keeps the bounds has had its slot for a while.
-func (g *Gate) settled(now core.Time) bool {
-	return now.Sub(g.lentAt) >= exchangeAfter && !slices.ContainsFunc(g.links, func(l *link) bool { return g.lent(l) != 1 })
+// stable reports whether each loader that keeps the bounds has had one slot for
+// exchangeAfter.
+func (g *Gate) stable(now core.Time) bool {
+	return now.Sub(g.lentAt) >= exchangeAfter && !slices.ContainsFunc(g.links, func(l *link) bool { return g.lentSlots(l) != 1 })
 }
 
-// exchange puts a loader in the place of the last one that all routers prefer it to.
-func (g *Gate) exchange(name core.HostID, order []core.HostID) {
+// replaceLink replaces the least preferred loader by the given one if that is preferred to
+// it.
+func (g *Gate) replaceLink(name core.HostID, order []core.HostID) {
 	rank := func(name core.HostID) int { return slices.Index(order, name) }
 	last := slices.MaxFunc(g.links, func(a, b *link) int { return rank(a.name) - rank(b.name) })
 	if rank(name) < rank(last.name) {
@@ -45,72 +47,74 @@
 	}
 }
 
-// Lost forgets a loader whose connection has ended: the next one may be a new process's.
+// Disconnected removes a loader whose connection has ended: the next connection may be to a
+// new process.
 func (g *Gate) Disconnected(name core.HostID) {
 	if l := g.link(name); l != nil {
-		g.drop(l)
+		g.dropLink(l)
 		g.links = slices.DeleteFunc(slices.Clone(g.links), func(other *link) bool { return other == l })
 	}
 }
 
-// drop takes back what a loader was lent, once the loan is over.
-func (g *Gate) drop(l *link) {
+// dropLink takes back the slots lent to a loader once their loans are over.
+func (g *Gate) dropLink(l *link) {
 	for i := range g.slots {
 		s := &g.slots[i]
 		if s.to == l.name {
 			s.to = ""
 		}
-		if l.adopts.number != 0 && l.mayHold(*s) {
-			s.until = max(s.until, l.adopts.at.Add(returnsAfter))
+		if l.adoptAsk.number != 0 && l.mayHold(*s) {
+			s.until = max(s.until, l.adoptAsk.at.Add(returnDelay))
 		}
 	}
 	for _, a := range g.accounts {
-		a.open = slices.DeleteFunc(a.open, func(q question) bool { return q.to == l.name })
-		delete(a.left, l.name)
+		a.pending = slices.DeleteFunc(a.pending, func(q pendingAsk) bool { return q.to == l.name })
+		delete(a.remaining, l.name)
 	}
 }
 
-// dropSilent gives up loaders that do not answer.
-func (g *Gate) dropSilent(now core.Time) {
+// dropUnresponsive removes loaders that do not answer.
+func (g *Gate) dropUnresponsive(now core.Time) {
 	for _, l := range slices.Clone(g.links) {
-		if len(l.sent) > 0 && now.Sub(l.sent[0].at) >= silentAfter {
-			g.silent[l.name] = now.Add(silentFor)
+		if len(l.sent) > 0 && now.Sub(l.sent[0].at) >= unresponsiveAfter {
+			g.unresponsive[l.name] = now.Add(unresponsivePause)
 			g.Disconnected(l.name)
 		}
 	}
-	for name, until := range g.silent {
+	for name, until := range g.unresponsive {
 		if now >= until {
-			delete(g.silent, name)
+			delete(g.unresponsive, name)
 		}
 	}
 }
 
-// mayHold tells that a slot is on its way back, maybe from this loader: to whom the last
-// life lent anything is not known.
+// mayHold reports whether a slot is returning and this loader may hold it: to which loaders
+// the previous process lent its slots is not known.
 func (l *link) mayHold(s slot) bool { return s.to == "" && (s.last == l.name || s.last == "") }
 
-// beingAdopted tells that a loader that was asked may go on holding the slot.
+// beingAdopted reports whether a loader that was asked may continue to hold the slot.
 func (g *Gate) beingAdopted(s slot) bool {
-	return slices.ContainsFunc(g.links, func(l *link) bool { return l.adopts.number != 0 && l.mayHold(s) })
+	return slices.ContainsFunc(g.links, func(l *link) bool { return l.adoptAsk.number != 0 && l.mayHold(s) })
 }
 
-// adopted goes on with a loan of this router's last life, or of its last connection, that a
-// loader holds still, and has renewed since it was last asked at the latest.
-func (g *Gate) adopted(l *link, held int) {
+// adoptSlots continues the loans of this router's previous process or previous connection
+// that a loader still holds. Their renewal counts from no later than the time of the last
+// adoption request.
+func (g *Gate) adoptSlots(l *link, held int) {
 	for i := range g.slots {
 		s := &g.slots[i]
 		if held > 0 && l.mayHold(*s) {
 			s.to = l.name
-			s.until = max(s.until, l.adopts.at.Add(returnsAfter))
+			s.until = max(s.until, l.adoptAsk.at.Add(returnDelay))
 			s.last, s.life = l.name, l.life
 			held--
 		}
 	}
 }
 
-// comeBack takes back what an earlier life of a loader was lent, as soon as what that granted
-// has run out.
-func (g *Gate) comeBack(now core.Time, l *link) {
+// shortenReturn takes back the slots lent to a previous process of a loader as soon as the
+// tokens which that process granted have expired.
+func (g *Gate) shortenReturn(now core.Time, l *link) {
 	for i := range g.slots {
 		s := &g.slots[i]
 		if s.to == "" && s.last == l.name && s.life != l.life && now < s.until {
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -9,15 +9,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Guards against a bound that breaks when processes end, stand still, are cut off and start
-// anew one after the other: it must hold at each moment of any history, and no part of it may
-// be held by two at once.
+// Guards against exceeding the bound when processes end, are suspended, are partitioned and
+// restart in any order: it must hold at each moment, and no part of it may have two
+// holders.
 func TestBoundHoldsAtEachMoment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 1500, Routers: 3}
 		limits := map[string]Limit{"a": {Rate: 300, Burst: 300}}
 		w := newWorld(bounds, limits, 3, rapid.IntRange(2, 4).Draw(t, "loaders"))
-		h := history{T: t, world: w, most: bounds.MaxUse(limits["a"])}
+		h := history{T: t, world: w, maxUse: bounds.MaxUse(limits["a"])}
 		h.pass(4 * time.Second)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			h.fault()
@@ -26,32 +26,32 @@
 	})
 }
 
-// history is a random course of a world.
+// history is a random sequence of faults in a world.
 type history struct {
 	*rapid.T
 	*world
-	most float64
+	maxUse float64
 }
 
-// pass lets time pass while callers ask for several times the bound, and checks all the
-// while.
+// pass advances the time while callers request several times the bound, and checks the
+// bound at each step.
 func (h *history) pass(d time.Duration) {
 	const pause = 10 * time.Millisecond
 	for range d / pause {
 		for i, r := range h.routers {
 			if h.now >= r.pausedUntil {
-				h.ask(i, "a", []float64{60, 100}[i%2])
+				h.request(i, "a", []float64{60, 100}[i%2])
 			}
 		}
 		h.run(pause)
 		checkShares(h, h.world)
-		if sum := h.inWindow(); sum > h.most {
-			h.Fatalf("%v: %.0f ran within a window, allowed are %.0f", h.now.Sub(start), sum, h.most)
+		if sum := h.inWindow(); sum > h.maxUse {
+			h.Fatalf("%v: %.0f ran within a window, allowed are %.0f", h.now.Sub(start), sum, h.maxUse)
 		}
 	}
 }
 
-// fault lets something happen to some process, or to several of a kind at once.
+// fault applies a random fault to random routers and loaders.
 func (h *history) fault() {
 	what := rapid.SampledFrom([]string{"kill", "pause", "cut", "break off", "none"}).Draw(h.T, "what")
 	routers := rapid.SliceOfDistinct(rapid.IntRange(0, len(h.routers)-1), rapid.ID).Draw(h.T, "routers")
@@ -86,5 +86,5 @@
 		h.loaders[loader].cut[router] = until
 		return
 	}
-	h.breakOff(router, loader)
+	h.disconnect(router, loader)
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,47 +1,51 @@
-// Package quota bounds what a client account uses over all routers together: so much
-// within any window, as the deployment promises.
+// Package quota limits what a client account uses over all routers together, within any
+// sliding window, as the deployment's bounds promise.
 //
 // # Tokens
 //
-// A use takes tokens. Each router owns an even share of all bounds, and whoever holds a
-// share makes tokens at a fixed rate from it (holder). Over all holders there are never more
-// tokens at once than a fixed depth. Whoever has held a share for a whole window may also use
-// a fixed part of it at any time within a window. Depth, what is made within a window and that
-// part are the bound together. So it holds at each moment, whoever ends, starts anew, is cut
-// off or stands still: a process that ends takes its tokens with it, and one that starts has
-// none. Nobody has to know what was used before.
+// Use takes tokens. Each router owns an even share of all bounds, and the process that
+// holds a share generates tokens from it at a fixed rate (holder). The holders together
+// never have more tokens at once than a fixed depth. A process that has held a share for a
+// whole window may also use a fixed part of it at any time within a window. The depth, the
+// tokens generated within a window and that part add up to the bound. So the bound holds at
+// each moment, whichever process ends, restarts, is partitioned or is suspended: a process
+// that ends takes its tokens with it, and one that starts has none. No process needs to
+// know what was used before.
 //
-// # Who holds the shares
+// # Holders of shares
 //
-// Callers are spread unevenly, so routers lend their shares to some loaders, the same ones for
-// all, an even part each (Keeper), and ask them for tokens (Gate). A loan ends by itself
-// after LoanLasts unless it is renewed. The time of a loan counts from a moment that the
-// loader told the router, so that the router's clock ends it after the loader's, whatever a
-// message took. So a share has one holder at a time, also where routers don't reach the same
-// loaders, and one that is cut off or gone keeps others from using it for some time at most.
+// Callers are spread unevenly, so routers lend their shares to a few loaders, the same ones
+// for all routers and an even part to each (Granter), and request tokens from them (Gate).
+// A loan ends after LoanDuration unless it is renewed. It counts from a time that the
+// loader reported to the router, so that it ends by the router's clock after it ends by the
+// loader's, regardless of message delays. So a share has one holder at a time, even if
+// routers do not reach the same loaders, and a holder that is partitioned or gone keeps
+// others from using its share for a limited time only.
 //
-// Granted tokens are used within GrantLasts of the question or are lost. Until then they
-// count towards the depth, also after the loader that granted them is gone: a router takes a
-// share back that much later than its loan ends.
+// Granted tokens expire GrantLifetime after they were requested. Until then they count
+// towards the depth, even if the loader that granted them is gone: a router takes a share
+// back that much later than its loan ends.
 //
-// A router that reaches no loader goes by its own share.
+// A router that reaches no loader uses its own share.
 //
-// # Who starts anew
+// # Restarts
 //
-// A loader that starts proves that its last life is over, so that what that one had is lent
-// anew as soon as its grants have run out.
+// A loader that restarts proves that its previous process has ended, so that the shares of
+// that process are lent again as soon as its grants have expired.
 //
-// A router that starts waits until all that its last life lent has come back, unless a
-// loader tells that it holds it still and goes on doing so. It learns from loaders among how
-// many routers shares are even; until then it has none. All that know the number may be gone
-// while a router is cut off that has a share: only Bounds.Routers guards against that.
+// A router that restarts waits until all loans of its previous process have returned,
+// unless a loader reports that it still holds one and continues to hold it. Loaders report
+// the number of routers among which the bounds are divided; until then the router has no
+// share. If all processes that know the number are gone while a router that has a share is
+// partitioned, only Bounds.Routers keeps the shares from being too large.
 //
-// # What it takes
+// # Admission
 //
 // Requests are admitted at once while the router has tokens. Far below a bound, loaders
-// grant what is expected to be used soon along with what is needed now. Near it a request
-// waits for its own tokens, for as long as a question takes. A loader grants only while it
-// has more than a reserve, so that large requests get as far as small ones.
+// grant the tokens that are expected to be used soon along with those needed at once. Near
+// it, a request waits for its own tokens, for as long as a token request takes. A loader
+// grants only while it has more than a reserve, so that large requests are not starved by
+// small ones.
 //
 // The package has no I/O and no clock. Package bench/quota measures it.
 package quota
@@ -49,40 +53,42 @@
 import "time"
 
 const (
-	// Slots is the number of parts of a router's share that are lent apart: one for each of
-	// the loaders that keep the bounds. With one lost, the others grant what is usual.
+	// Slots is the number of parts of a router's share that are lent separately: one for
+	// each of the loaders that keep the bounds. If one loader is lost, the others can grant
+	// the usual demand.
 	Slots = 3
-	// LoanLasts is how long a loan lasts. It is several renewInterval and less than the time
-	// for which what is usually asked fits into what is left.
+	// LoanDuration is how long a loan lasts: several times renewInterval, and less than the
+	// time for which the remaining share covers the usual demand.
 	LoanDuration = 600 * time.Millisecond
-	// GrantLasts is how long granted tokens may be used, from the question on.
+	// GrantLifetime is how long granted tokens may be used, from their request on.
 	GrantLifetime = 250 * time.Millisecond
-	// renewInterval is the time between two questions to a loader at the most.
+	// renewInterval is the longest time between two messages to a loader.
 	renewInterval = 200 * time.Millisecond
-	// returnsAfter is how long after it was renewed last a share that was lent comes back.
-	returnsAfter = LoanDuration + GrantLifetime
-	// reserveLasts is for how long after a large request was refused others wait for its sake.
-	reserveLasts = time.Second
-	// settleTime is how long a loader has counted routers before it tells their number:
-	// those that know each other connect within a redial's pause.
-	settleTime = 600 * time.Millisecond
-	// memberKept is how long a loader counts a router that it has lost: it may be cut off
-	// and use its share.
-	memberKept = 10 * time.Minute
-	// peakKept is how long a router goes by the largest number of routers that it was told,
-	// for loaders that start anew.
-	peakKept = time.Minute
+	// returnDelay is how long after its last renewal a lent share returns.
+	returnDelay = LoanDuration + GrantLifetime
+	// reserveDuration is how long after the refusal of a large request tokens are reserved
+	// for it.
+	reserveDuration = time.Second
+	// countDelay is how long a loader counts routers before it reports their number:
+	// processes that have each other's address connect within a reconnection pause.
+	countDelay = 600 * time.Millisecond
+	// memberRetention is how long a loader counts a disconnected router: it may be
+	// partitioned and use its share.
+	memberRetention = 10 * time.Minute
+	// peakRetention is how long a router uses the largest reported number of routers, since
+	// restarted loaders report fewer.
+	peakRetention = time.Minute
 )
 
-// The parts of a bound. Together they leave free what clocks and rounding take.
+// The parts of a bound. What they leave is for clock differences and rounding.
 const (
-	// rateShare is what is made within a window.
+	// rateShare is the part generated within a window.
 	rateShare = 0.74
-	// depthShare is the most that there is at once.
+	// depthShare is the largest number of tokens at once.
 	depthShare = 0.16
-	// burstShare may be used at any time within a window, by loaders alone.
+	// burstShare may be used at any time within a window, by loaders only.
 	burstShare = 0.095
-	// reserveShare bounds what a loader has to have before it grants any request.
+	// reserveShare limits the reserve that a loader must have before it grants a request.
 	reserveShare = 0.11
 )
 
@@ -93,17 +99,17 @@
 	Over   float64
 	// Slack is in the unit of the account.
 	Slack float64
-	// Routers is the least number of routers that there are, 0 if operators did not tell it.
+	// Routers is the smallest number of routers that run, 0 if operators did not set it.
 	Routers int
 }
 
 // Limit is what an account may use.
 type Limit struct {
-	// Rate is a second's, Burst what may come at once beyond it.
+	// Rate is per second; Burst may be used at once in addition.
 	Rate, Burst float64
 }
 
-// Most is the largest use within a window that the bounds allow.
+// MaxUse is the largest use within a window that the bounds allow.
 func (b Bounds) MaxUse(l Limit) float64 {
 	return (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// newFleet returns 28 routers and four loaders that know each other.
+// newFleet returns 28 routers and four loaders that are connected and have exchanged
+// messages.
 func newFleet() *world {
 	w := newWorld(testBounds(), testLimit, 28, 4)
 	w.run(10 * time.Second)
@@ -22,12 +23,12 @@
 	}
 }
 
-// Guards against even parts: all callers of an account that is far below its bound come to
+// Guards against strictly even shares: all callers of an account far below its bound use
 // one router of 28, and none may be refused.
-func TestCallersOfOneRouterAreServed(t *testing.T) {
+func TestUnevenCallersAreServed(t *testing.T) {
 	w := newFleet()
 	for range 200 {
-		w.ask(3, "a", 700)
+		w.request(3, "a", 700)
 		w.run(50 * time.Millisecond)
 	}
 	if r := w.routers[3]; r.refused > 0 || r.admitted != 200*700 {
@@ -35,16 +36,16 @@
 	}
 }
 
-// An account asks for far more than it may. Within any window no more than the bound may be
-// admitted, and the refusals must tell a time at which there is room.
+// An account requests far more than its limit. Within any window no more than the bound may
+// be admitted, and refusals must carry a retry delay after which there is room.
 func TestBoundHolds(t *testing.T) {
 	w := newFleet()
 	most := testBounds().MaxUse(testLimit["a"])
 	for i := range 800 {
 		for range 10 {
-			w.ask(i%28, "a", 700)
-			if r := w.routers[i%28]; r.refused > 0 && (r.soonest < leastReturn || r.latest > testBounds().Window) {
-				t.Fatalf("come back in %v to %v", r.soonest, r.latest)
+			w.request(i%28, "a", 700)
+			if r := w.routers[i%28]; r.refused > 0 && (r.soonest < minRetryAfter || r.latest > testBounds().Window) {
+				t.Fatalf("retry delays from %v to %v", r.soonest, r.latest)
 			}
 		}
 		w.run(50 * time.Millisecond)
@@ -54,12 +55,12 @@
 	}
 }
 
-// Guards against an account that pays for requests that proved not to have run.
+// Guards against charging an account for requests that did not run.
 func TestReturnedRequestsCostNothing(t *testing.T) {
 	w := newFleet()
 	r := w.routers[0]
 	for range 1000 {
-		w.ask(0, "a", 5000)
+		w.request(0, "a", 5000)
 		w.run(50 * time.Millisecond)
 		r.gate.Refund(w.now, "a", 5000, r.last.Until)
 	}
@@ -68,26 +69,26 @@
 	}
 }
 
-// Guards against a prompt that is refused for ever, as it counts more than the account's
-// burst, while the account is idle.
+// Guards against a prompt that costs more than the account's burst and is refused forever
+// although the account is idle.
 func TestPromptLargerThanTheBurst(t *testing.T) {
 	w := newFleet()
-	w.ask(0, "a", 2*testLimit["a"].Burst)
+	w.request(0, "a", 2*testLimit["a"].Burst)
 	w.run(50 * time.Millisecond)
 	if w.routers[0].admitted == 0 {
 		t.Errorf("refused: %+v", w.routers[0].last)
 	}
 }
 
-// Guards against large prompts that never get their tokens while small ones of the same
-// account take all that there is.
-func TestLargePromptsGetAsFarAsSmallOnes(t *testing.T) {
+// Guards against starvation of large prompts while small ones of the same account take all
+// available tokens.
+func TestLargePromptsAreNotStarved(t *testing.T) {
 	w := newFleet()
 	small, large, smallServed, largeServed := 0, 0, 0, 0
 	for i := range 4000 {
 		r := w.routers[i%28]
 		before := r.admitted
-		w.ask(i%28, "a", 700)
+		w.request(i%28, "a", 700)
 		w.run(10 * time.Millisecond)
 		small++
 		if r.admitted > before {
@@ -97,7 +98,7 @@
 			continue
 		}
 		before = r.admitted
-		w.ask(i%28, "a", 9000)
+		w.request(i%28, "a", 9000)
 		w.run(10 * time.Millisecond)
 		large++
 		if r.admitted > before {
@@ -109,7 +110,8 @@
 	}
 }
 
-// All loaders go. Once its share has come back, a router must go on by it, and by no more.
+// All loaders become unreachable. Once a router's share has returned, the router must admit
+// requests from it, and no more than it allows.
 func TestWithoutLoaders(t *testing.T) {
 	w := newFleet()
 	for i := range w.loaders {
@@ -117,10 +119,10 @@
 			w.loaders[i].cut[j] = core.Never
 		}
 	}
-	w.run(returnsAfter + 10*time.Second)
+	w.run(returnDelay + 10*time.Second)
 	r := w.routers[0]
 	for range 100 {
-		w.ask(0, "a", 200)
+		w.request(0, "a", 200)
 		w.run(10 * time.Millisecond)
 	}
 	most := testBounds().MaxUse(testLimit["a"]) / 28
@@ -129,39 +131,39 @@
 	}
 }
 
-// Guards against a loader that was not told a limit and never grants anything.
+// Guards against a loader that never grants anything because it did not receive a limit.
 func TestLoaderAsksForLimits(t *testing.T) {
 	w := newFleet()
-	w.ask(0, "a", 700)
+	w.request(0, "a", 700)
 	w.run(time.Second)
 	for _, l := range w.loaders {
-		l.keeper.holder.buckets = nil
+		l.granter.holder.buckets = nil
 	}
-	w.ask(0, "a", 700)
+	w.request(0, "a", 700)
 	w.run(time.Second)
 	if r := w.routers[0]; r.admitted != 1400 {
 		t.Errorf("admitted %.0f: %+v", r.admitted, r.last)
 	}
 }
 
-// A lower limit comes while the account is busy: it must bind at once, and an older one
-// that comes late must not undo it.
-func TestLimitsGoForwardOnly(t *testing.T) {
+// A lower limit arrives while the account is busy. It must apply at once, and an older
+// limit that arrives late must not replace it.
+func TestOlderLimitsAreIgnored(t *testing.T) {
 	k := NewGranter()
-	tell := func(version int64, most float64) {
+	sendLimit := func(version int64, most float64) {
 		k.HandleAsk(start, "r", core.QuotaAsk{Window: 8 * time.Second, Limits: []core.QuotaLimit{{Account: "a", Version: version, Most: most}}})
 	}
-	tell(2, 800)
-	tell(3, 80)
-	tell(2, 800)
-	if got := k.holder.buckets["a"]; got.version != 3 || got.most != 80 {
-		t.Errorf("version %d, most %.0f", got.version, got.most)
+	sendLimit(2, 800)
+	sendLimit(3, 80)
+	sendLimit(2, 800)
+	if got := k.holder.buckets["a"]; got.version != 3 || got.maxUse != 80 {
+		t.Errorf("version %d, most %.0f", got.version, got.maxUse)
 	}
 }
 
-// Guards against a share that is used twice: a router is lost sight of, may be cut off and
-// serve callers, and the others would share its part.
-func TestLostRoutersShareIsKeptBack(t *testing.T) {
+// Guards against using a share twice: a disconnected router may be partitioned and still
+// serve callers, so the others must not divide its share among them.
+func TestDisconnectedRouterKeepsItsShare(t *testing.T) {
 	w := newWorld(testBounds(), testLimit, 3, 4)
 	w.run(10 * time.Second)
 	for _, l := range w.loaders {
@@ -172,16 +174,16 @@
 		t.Errorf("the lost router has %.3f of the bounds", share.Home)
 	}
 	if sum := w.shares(); sum > 1.001 || sum < 0.999 {
-		t.Errorf("all have %.3f of the bounds", sum)
+		t.Errorf("%.3f of the bounds are held", sum)
 	}
 }
 
-// Guards against a router that starts anew and uses at once what its last life has lent: it
-// must have nothing of its own, and yet be served by the loaders that hold it still.
-func TestRouterThatStartsAnewUsesItsLastLifesLoan(t *testing.T) {
+// Guards against a restarted router that at once uses the share which its previous process
+// has lent: it must hold no share itself, but be served by the loaders that still hold it.
+func TestRestartedRouterAdoptsItsLoans(t *testing.T) {
 	w := newFleet()
 	w.startRouter(0)
-	w.ask(0, "a", 700)
+	w.request(0, "a", 700)
 	for range 60 {
 		w.run(10 * time.Millisecond)
 		if home := w.routers[0].gate.Share().Home; home > 0 {
@@ -194,16 +196,16 @@
 	checkShares(t, w)
 }
 
-// Guards against tokens that are lost: a request that has to wait behind others must not take
-// any before it is its turn.
+// Guards against lost tokens: a request that waits behind others must not take any before
+// its turn.
 func TestWaitingRequestsTakeNoTokens(t *testing.T) {
 	w := newFleet()
 	r := w.routers[0]
 	r.gate.Refund(w.now, "a", 500, w.now.Add(time.Minute))
-	w.ask(0, "a", 700) // waits for what it lacks
-	w.ask(0, "a", 100) // would have enough
-	if hand := r.gate.inHand(w.now, r.gate.accounts["a"]); hand != 500 {
-		t.Errorf("%.0f in hand, want 500", hand)
+	w.request(0, "a", 700) // waits for the missing tokens
+	w.request(0, "a", 100) // the available tokens would suffice
+	if available := r.gate.available(w.now, r.gate.accounts["a"]); available != 500 {
+		t.Errorf("%.0f available, want 500", available)
 	}
 	w.run(100 * time.Millisecond)
 	if r.admitted != 800 {
@@ -211,44 +213,44 @@
 	}
 }
 
-// Guards against requests that are counted as waiting for good, until no more may wait.
-func TestAccountThatIsTakenAwayFreesItsRequests(t *testing.T) {
+// Guards against requests that stay counted as waiting until no more may wait.
+func TestRemovedAccountReleasesItsRequests(t *testing.T) {
 	w := newFleet()
 	r := w.routers[0]
-	w.ask(0, "a", 700)
+	w.request(0, "a", 700)
 	r.gate.SetLimits(w.now, 2, nil)
-	w.talk(0)
-	if r.admitted != 700 || r.gate.waits != 0 {
-		t.Errorf("admitted %.0f, %d count as waiting", r.admitted, r.gate.waits)
+	w.exchange(0)
+	if r.admitted != 700 || r.gate.waitingCount != 0 {
+		t.Errorf("admitted %.0f, %d count as waiting", r.admitted, r.gate.waitingCount)
 	}
 }
 
-// Guards against an account that is taken away and given back, and is taken for one that was
-// never used.
-func TestAccountThatIsGivenBackHasNoMoreThanBefore(t *testing.T) {
+// Guards against treating an account that was removed and added again as one that was never
+// used.
+func TestReaddedAccountGainsNoTokens(t *testing.T) {
 	w := newWorld(testBounds(), testLimit, 1, 1)
 	w.run(5 * time.Second)
 	w.loaders[0].cut[0] = core.Never
-	w.run(returnsAfter + 5*time.Second)
-	w.ask(0, "a", 20000)
+	w.run(returnDelay + 5*time.Second)
+	w.request(0, "a", 20000)
 	g := w.routers[0].gate
-	before := g.inHand(w.now, g.accounts["a"])
+	before := g.available(w.now, g.accounts["a"])
 	g.SetLimits(w.now, 2, nil)
 	g.SetLimits(w.now, 3, testLimit)
-	if hand := g.inHand(w.now, g.accounts["a"]); hand > before {
-		t.Errorf("%.0f in hand, %.0f before", hand, before)
+	if available := g.available(w.now, g.accounts["a"]); available > before {
+		t.Errorf("%.0f available, %.0f before", available, before)
 	}
 }
 
-// Guards against refusals while all loaders start anew: what they were lent is lent again as
-// soon as their last lives' grants have run out, and requests wait for that.
-func TestRequestsWaitForLoadersThatStartAnew(t *testing.T) {
+// Guards against refusals while all loaders restart: their slots are lent again as soon as
+// the grants of the previous processes have expired, and requests wait until then.
+func TestRequestsWaitForRestartedLoaders(t *testing.T) {
 	w := newFleet()
 	for i := range w.loaders {
 		w.startLoader(i)
 	}
 	for i := range 28 {
-		w.ask(i, "a", 200)
+		w.request(i, "a", 200)
 	}
 	w.run(time.Second)
 	for i, r := range w.routers {
@@ -258,9 +260,9 @@
 	}
 }
 
-// Guards against a loan that ends later at its loader than at its router, as its message was
-// held up on the way.
-func TestLoanCountsFromTheLoadersOwnTime(t *testing.T) {
+// Guards against a loan that ends later at the loader than at the router because its
+// message was delayed.
+func TestLoanStartsAtTheLoadersStamp(t *testing.T) {
 	k := NewGranter()
 	first := k.HandleAsk(start, "r", core.QuotaAsk{Number: 1, Window: 8 * time.Second})
 	late := start.Add(LoanDuration - 50*time.Millisecond)
@@ -269,24 +271,24 @@
 		t.Errorf("lent %.2f", share)
 	}
 	if share := k.Share(start.Add(LoanDuration)); share != 0 {
-		t.Errorf("lent %.2f after the loan's time", share)
+		t.Errorf("lent %.2f after the end of the loan", share)
 	}
 	k.HandleAsk(start.Add(LoanDuration), "r", core.QuotaAsk{Number: 3, Stamp: first.Stamp, Slots: Slots, Routers: 1})
 	if share := k.Share(start.Add(LoanDuration)); share != 0 {
-		t.Errorf("a loan that was over when it came is %.2f", share)
+		t.Errorf("an expired loan counts as %.2f", share)
 	}
 }
 
-// Guards against tokens that are used long after they were granted, by a router that stood
-// still or whose answer was held up.
-func TestGrantedTokensRunOut(t *testing.T) {
+// Guards against the use of tokens long after they were granted, by a router that was
+// suspended or whose answer was delayed.
+func TestGrantedTokensExpire(t *testing.T) {
 	w := newFleet()
 	r := w.routers[0]
-	w.ask(0, "a", 700)
+	w.request(0, "a", 700)
 	r.pausedUntil = w.now.Add(GrantLifetime)
 	w.run(GrantLifetime + 200*time.Millisecond)
-	if hand := r.gate.inHand(w.now, r.gate.accounts["a"]); hand >= 700 {
-		t.Errorf("%.0f in hand of an answer that came too late", hand)
+	if available := r.gate.available(w.now, r.gate.accounts["a"]); available >= 700 {
+		t.Errorf("%.0f available from an answer that came too late", available)
 	}
 }
 
@@ -296,25 +298,25 @@
 	for i := 0; b.Loop(); i++ {
 		r.gate.Admit(w.now, uint64(i), "a", 1)
 		if i%1000 == 0 {
-			w.talk(0)
+			w.exchange(0)
 			w.run(50 * time.Millisecond)
 		}
 	}
 }
 
-// Guards against a share that is used anew while its last holder's grants are: a loader starts
-// anew, and another one is lent what it had.
-func TestShareOfAnEndedLoaderWaitsForItsGrants(t *testing.T) {
+// Guards against using a share again while grants of its last holder are still in use: a
+// loader restarts, and its share is lent to another loader.
+func TestShareOfRestartedLoaderWaitsForItsGrants(t *testing.T) {
 	w := newWorld(testBounds(), testLimit, 1, 2)
 	w.run(5 * time.Second)
 	ended, other := w.loaders[0], w.loaders[1]
-	if ended.keeper.Share(w.now) < other.keeper.Share(w.now) {
+	if ended.granter.Share(w.now) < other.granter.Share(w.now) {
 		ended, other = other, ended
 	}
-	before := other.keeper.Share(w.now)
+	before := other.granter.Share(w.now)
 	w.startLoader(slices.Index(w.loaders, ended))
 	for began := w.now; w.now.Sub(began) < GrantLifetime; w.run(10 * time.Millisecond) {
-		if share := other.keeper.Share(w.now); share > before {
+		if share := other.granter.Share(w.now); share > before {
 			t.Fatalf("the other has %.3f of the bounds after %v, %.3f before", share, w.now.Sub(began), before)
 		}
 	}
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -10,24 +10,25 @@
 
 const (
 	start = core.Time(time.Hour)
-	// wayTime is how long a message takes, tickTime the time between two ticks of a router.
-	wayTime, tickTime = 2 * time.Millisecond, 50 * time.Millisecond
+	// messageDelay is the transit time of a message, tickInterval the time between two
+	// ticks of a router.
+	messageDelay, tickInterval = 2 * time.Millisecond, 50 * time.Millisecond
 )
 
 func testBounds() Bounds { return Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 72000} }
 
 var testLimit = map[string]Limit{"a": {Rate: 18000, Burst: 18000}}
 
-// world is routers and loaders in virtual time, with all that may happen to them.
+// world simulates routers and loaders in virtual time, with faults.
 type world struct {
 	now     core.Time
 	bounds  Bounds
 	limits  map[string]Limit
 	routers []*testRouter
 	loaders []*testLoader
-	// words are on their way, each connection's in order.
-	words []testWord
-	// uses are what ran, in the order of time.
+	// messages are in transit, in order for each connection.
+	messages []testMessage
+	// uses are the admitted requests in order of time.
 	uses []testUse
 	keys uint64
 }
@@ -37,32 +38,32 @@
 	gate        *Gate
 	life        int
 	pausedUntil core.Time
-	// waiting are the costs of requests that wait.
+	// waiting are the costs of the waiting requests.
 	waiting map[uint64]float64
-	// admitted and refused are costs, of all accounts.
+	// admitted and refused are total costs over all accounts.
 	admitted, refused float64
-	// last is the last decision; soonest and latest are the least and the largest time after
-	// which refused callers were told to return.
+	// last is the last decision; soonest and latest are the smallest and the largest retry
+	// delay.
 	last            Decision
 	soonest, latest time.Duration
 }
 
 type testLoader struct {
 	name        core.HostID
-	keeper      *Granter
+	granter     *Granter
 	life        int
 	pausedUntil core.Time
-	// cut are the routers whose path is cut, until a time.
+	// cut are the routers that are partitioned from the loader, until a time.
 	cut map[int]core.Time
 }
 
-// testWord is a message between a router and a loader, which ends with either's life.
-type testWord struct {
+// testMessage is a message between a router and a loader. It is lost if either restarts.
+type testMessage struct {
 	at                     core.Time
 	router, loader         int
 	routerLife, loaderLife int
 	ask                    *core.QuotaAsk
-	told                   *core.QuotaTold
+	answer                 *core.QuotaTold
 }
 
 type testUse struct {
@@ -83,7 +84,7 @@
 	return w
 }
 
-// startRouter begins a router's process anew. What waited there is lost.
+// startRouter restarts a router's process. Its waiting requests are lost.
 func (w *world) startRouter(i int) {
 	r := w.routers[i]
 	r.gate, r.waiting = NewGate(w.bounds), map[uint64]float64{}
@@ -92,10 +93,10 @@
 	r.gate.SetLimits(w.now, 1, w.limits)
 }
 
-// startLoader begins a loader's process anew.
+// startLoader restarts a loader's process.
 func (w *world) startLoader(i int) {
 	l := w.loaders[i]
-	l.keeper = NewGranter()
+	l.granter = NewGranter()
 	l.life++
 	l.pausedUntil = 0
 	for _, r := range w.routers {
@@ -103,27 +104,27 @@
 	}
 }
 
-// breakOff ends the connection between a router and a loader.
-func (w *world) breakOff(router, loader int) {
+// disconnect ends the connection between a router and a loader.
+func (w *world) disconnect(router, loader int) {
 	w.routers[router].gate.Disconnected(w.loaders[loader].name)
-	w.words = slices.DeleteFunc(w.words, func(x testWord) bool { return x.router == router && x.loader == loader })
+	w.messages = slices.DeleteFunc(w.messages, func(x testMessage) bool { return x.router == router && x.loader == loader })
 }
 
-// ask lets a request come.
-func (w *world) ask(router int, account string, cost float64) Decision {
+// request sends a caller's request to a router.
+func (w *world) request(router int, account string, cost float64) Decision {
 	r := w.routers[router]
 	w.keys++
 	d := r.gate.Admit(w.now, w.keys, account, cost)
 	if d.Outcome == Queued {
 		r.waiting[w.keys] = cost
 	} else {
-		w.decided(r, cost, d)
+		w.record(r, cost, d)
 	}
-	w.talk(router)
+	w.exchange(router)
 	return d
 }
 
-func (w *world) decided(r *testRouter, cost float64, d Decision) {
+func (w *world) record(r *testRouter, cost float64, d Decision) {
 	r.last = d
 	if d.Outcome == Admitted {
 		r.admitted += cost
@@ -137,26 +138,26 @@
 	r.soonest, r.latest = min(r.soonest, d.RetryAfter), max(r.latest, d.RetryAfter)
 }
 
-// run lets time pass.
+// run advances the time.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(time.Millisecond)
 		w.deliver()
-		if time.Duration(w.now-start)%tickTime != 0 {
+		if time.Duration(w.now-start)%tickInterval != 0 {
 			continue
 		}
 		for i, r := range w.routers {
 			if w.now < r.pausedUntil {
 				continue
 			}
-			r.gate.SetLoaders(w.now, w.reached(i))
+			r.gate.SetLoaders(w.now, w.reachable(i))
 			r.gate.Tick(w.now)
-			w.talk(i)
+			w.exchange(i)
 		}
 	}
 }
 
-func (w *world) reached(router int) []core.HostID {
+func (w *world) reachable(router int) []core.HostID {
 	var names []core.HostID
 	for _, l := range w.loaders {
 		if w.now >= l.cut[router] {
@@ -166,44 +167,44 @@
 	return names
 }
 
-// talk sends what a router has to ask, and takes its verdicts.
-func (w *world) talk(router int) {
+// exchange sends a router's due messages and records its verdicts.
+func (w *world) exchange(router int) {
 	r := w.routers[router]
 	for _, v := range r.gate.Verdicts() {
-		w.decided(r, r.waiting[v.Key], v.Decision)
+		w.record(r, r.waiting[v.Key], v.Decision)
 		delete(r.waiting, v.Key)
 	}
 	for _, ask := range r.gate.Asks(w.now) {
 		loader := slices.IndexFunc(w.loaders, func(l *testLoader) bool { return l.name == ask.To })
-		w.words = append(w.words, testWord{
-			at: w.now.Add(wayTime), router: router, loader: loader, routerLife: r.life, loaderLife: w.loaders[loader].life, ask: &ask.Message,
+		w.messages = append(w.messages, testMessage{
+			at: w.now.Add(messageDelay), router: router, loader: loader, routerLife: r.life, loaderLife: w.loaders[loader].life, ask: &ask.Message,
 		})
 	}
 }
 
-// deliver carries messages out that are due. A cut holds them up, as a connection does that
-// is not reset, and so does a process that stands still.
+// deliver delivers messages that are due. A partition delays them, like a connection that
+// is not reset, and so does a suspended process.
 func (w *world) deliver() {
-	due := w.words
-	w.words = nil
+	due := w.messages
+	w.messages = nil
 	for _, x := range due {
 		r, l := w.routers[x.router], w.loaders[x.loader]
 		switch {
 		case x.routerLife != r.life || x.loaderLife != l.life:
-		case x.at > w.now || w.now < l.cut[x.router] || x.ask != nil && w.now < l.pausedUntil || x.told != nil && w.now < r.pausedUntil:
-			w.words = append(w.words, x)
+		case x.at > w.now || w.now < l.cut[x.router] || x.ask != nil && w.now < l.pausedUntil || x.answer != nil && w.now < r.pausedUntil:
+			w.messages = append(w.messages, x)
 		case x.ask != nil:
-			x.told = l.keeper.HandleAsk(w.now, r.name, *x.ask)
-			x.at, x.ask = w.now.Add(wayTime), nil
-			w.words = append(w.words, x)
+			x.answer = l.granter.HandleAsk(w.now, r.name, *x.ask)
+			x.at, x.ask = w.now.Add(messageDelay), nil
+			w.messages = append(w.messages, x)
 		default:
-			r.gate.HandleAnswer(w.now, l.name, *x.told)
-			w.talk(x.router)
+			r.gate.HandleAnswer(w.now, l.name, *x.answer)
+			w.exchange(x.router)
 		}
 	}
 }
 
-// inWindow is what ran within the last window.
+// inWindow is the cost of what was admitted within the last window.
 func (w *world) inWindow() float64 {
 	w.uses = slices.DeleteFunc(w.uses, func(u testUse) bool { return u.at <= w.now.Add(-w.bounds.Window) })
 	sum := 0.0
@@ -213,18 +214,18 @@
 	return sum
 }
 
-// shares is what all processes hold of the bounds at once.
+// shares is the sum of the parts of the bounds that all processes hold.
 func (w *world) shares() float64 {
 	sum := 0.0
 	for _, r := range w.routers {
 		if w.now >= r.pausedUntil {
-			r.gate.place(w.now)
+			r.gate.placeSlots(w.now)
 		}
 		sum += r.gate.home.share
 	}
 	for _, l := range w.loaders {
 		if w.now >= l.pausedUntil {
-			sum += l.keeper.Share(w.now)
+			sum += l.granter.Share(w.now)
 		}
 	}
 	return sum
