--- a/internal/fleet/account.go
+++ b/internal/fleet/account.go
@@ -5,8 +5,8 @@
 	"encoding/hex"
 )
 
-// KeyDigest stands for an API key: the first half of its SHA-256. Keys are random, so
-// that the digest does not tell them; it is compared in place of the key everywhere.
+// KeyDigest identifies an API key: the first half of its SHA-256. Keys are random, so the
+// digest does not reveal them; it is compared in place of the key everywhere.
 type KeyDigest [sha256.Size / 2]byte
 
 // DigestKey returns the digest of a key. It takes 0.1 us.
@@ -15,49 +15,51 @@
 	return KeyDigest(sum[:len(KeyDigest{})])
 }
 
-// String is a short form for logs, which tells keys apart.
+// String returns a short form for logs that is enough to distinguish keys.
 func (d KeyDigest) String() string { return hex.EncodeToString(d[:4]) }
 
-// Credential is what a request shows of its caller.
+// Credential is the API key that a request carries.
 type Credential struct {
-	// Given is set if there is exactly one well-formed key.
+	// Given is set if the request has exactly one well-formed key.
 	Given bool
 	Key   KeyDigest
 }
 
-// Unit is what an account's rate counts.
+// Unit is the unit of an account's rate.
 type Unit uint8
 
 // The units.
 const (
 	// UnitRequests counts each request as one.
 	UnitRequests Unit = iota
-	// UnitTokens counts a generation's prompt tokens and the most that it may generate.
+	// UnitTokens counts the prompt tokens of a generation and the largest number of tokens
+	// that it may generate.
 	UnitTokens
 )
 
-// RoutePriority stands for an account without a priority of its own.
+// RoutePriority is the Priority of an account that uses the route's priority.
 const RoutePriority = -1
 
 // Account is a client account.
 type Account struct {
 	Name string
 	Keys []KeyDigest
-	// Priority takes the place of the route's, 0 first; RoutePriority leaves that.
+	// Priority replaces the route's priority, 0 being the highest; RoutePriority keeps that
+	// of the route.
 	Priority int
-	// Unit is what Rate and Burst count.
+	// Unit is the unit of Rate and Burst.
 	Unit Unit
-	// PlainTokens is what a request counts that tells no tokens, in UnitTokens.
+	// PlainTokens is the cost, in UnitTokens, of a request that does not state its tokens.
 	PlainTokens int
-	// Rate is how much a second the account may ask of all routers together, and Burst
-	// how much at once beyond that. A Rate of 0 means no limit.
+	// Rate is how much per second the account may request from all routers together, and
+	// Burst how much at once in addition. A Rate of 0 means no limit.
 	Rate, Burst float64
 }
 
-// Limited reports whether the account has a bound.
+// Limited reports whether the account has a limit.
 func (a *Account) Limited() bool { return a.Rate > 0 }
 
-// Cost is what a request counts against the account's rate.
+// Cost is the cost of a request in the account's unit.
 func (a *Account) Cost(prompt *Prompt) float64 {
 	if a.Unit == UnitRequests {
 		return 1
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -8,19 +8,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Incarnation is one life of a backend server. A server that starts again may keep
-// its instance; it holds and knows nothing of before.
+// Incarnation identifies one process of a backend server. A restarted server may keep its
+// instance, but none of its earlier state.
 type Incarnation struct {
 	// Instance is the server's name in the registry.
 	Instance string
-	// Born is when it started, in Unix milliseconds of its own clock; 0 where it
-	// does not tell.
+	// Born is when the process started, in Unix milliseconds of its own clock; 0 if it does
+	// not report that.
 	Born int64
 }
 
-// Compare orders two lives at one address by their start: below 0 if i began before
-// other. Lives that can't be told apart, since one does not say when it began, are
-// equal.
+// Compare orders two incarnations at one address by their start: the result is below 0 if i
+// started before other. Incarnations are equal if one of them does not report its start.
 func (i Incarnation) Compare(other Incarnation) int {
 	if i.Born == 0 || other.Born == 0 {
 		return 0
@@ -28,29 +27,28 @@
 	return cmp.Compare(i.Born, other.Born)
 }
 
-// Backend is a backend server as the platform's registry lists it. The
-// registry lags by up to a heartbeat, and holds servers that died a few
-// heartbeats ago.
+// Backend is a backend server as listed in the platform's registry. The registry lags by up
+// to a heartbeat and still lists servers that ended a few heartbeats ago.
 type Backend struct {
 	Incarnation
 	Service string
-	// Address is "IP:port". It may belong to another instance later.
+	// Address is "IP:port". Another instance may get it later.
 	Address string
 	Zone    core.Zone
 	// Slots is the number of requests that run at once.
 	Slots int
-	// Draining servers are about to leave and take no new requests.
+	// Draining servers are about to shut down and accept no new requests.
 	Draining bool
-	// SlowFor is how much longer the server is slow after its start.
+	// SlowFor is the remaining time for which the server is slow after its start.
 	SlowFor time.Duration
-	// Models are those loaded at the last heartbeat; empty for plain services.
+	// Models are the models loaded at the last heartbeat; empty for plain services.
 	Models []LoadedModel
-	// Registered grows with each registration: of two instances at one address the
-	// one that registered later is there. 0 if the registry does not tell.
+	// Registered increases with each registration: of two instances with the same address,
+	// the one that registered later has it. It is 0 if the registry does not report it.
 	Registered int64
 }
 
-// Listed returns the entry as routers tell it to each other.
+// Listed returns the entry in the form in which routers send it to each other.
 func (b Backend) Listed() core.ListedBackend {
 	return core.ListedBackend{
 		Instance: b.Instance, Born: b.Born, Service: b.Service, Address: b.Address, Zone: b.Zone,
@@ -58,7 +56,7 @@
 	}
 }
 
-// Listed returns the backend server of an entry that a router told of.
+// Listed returns the backend server of an entry received from a router.
 func Listed(entry core.ListedBackend) Backend {
 	return Backend{
 		Incarnation: Incarnation{Instance: entry.Instance, Born: entry.Born},
@@ -78,31 +76,32 @@
 	return adapter == "" || slices.Contains(m.Adapters, adapter)
 }
 
-// Request is what routing needs to know of a caller's request.
+// Request is what routing uses of a caller's request.
 type Request struct {
-	// ID is the caller's, one for each of its attempts.
+	// ID is the caller's request ID, which is the same for all attempts.
 	ID string
 	// Fingerprint is the same for all requests for the same work.
 	Fingerprint core.Fingerprint
 	// Host and Path select the route.
 	Host, Path string
-	// Credential names the client account.
+	// Credential identifies the client account.
 	Credential Credential
-	// Deadline is how long the caller waits, 0 if it did not say.
+	// Deadline is how long the caller waits, 0 if it did not state that.
 	Deadline time.Duration
 	// Prompt is nil for requests to plain services.
 	Prompt *Prompt
 }
 
-// Prompt is what a caller tells about a generation.
+// Prompt describes a generation as its caller requests it.
 type Prompt struct {
 	Model string
 	// Adapter is "" for the base model.
 	Adapter string
-	// Tokens is the length of the prompt, MaxNewTokens the most to generate.
+	// Tokens is the length of the prompt, MaxNewTokens the largest number of tokens to
+	// generate.
 	Tokens, MaxNewTokens int
-	// Parts are the prompt's pieces in order. Other requests may share all
-	// but the last.
+	// Parts are the parts of the prompt in order. All but the last may be shared with other
+	// requests.
 	Parts []PromptPart
 }
 
@@ -112,7 +111,7 @@
 	Tokens int
 }
 
-// SharedTokens is the number of prompt tokens in parts that others may share.
+// SharedTokens is the number of prompt tokens in parts that other requests may share.
 func (p *Prompt) SharedTokens() int {
 	if len(p.Parts) == 0 {
 		return 0
@@ -124,47 +123,47 @@
 	return total
 }
 
-// Answer is the head of a backend server's answer.
+// Answer is the head of a backend server's response.
 type Answer struct {
 	Status int
-	// NotRun is the server's word that the request did not run and never will.
+	// NotRun is set if the server states that the request did not run and never will.
 	NotRun bool
-	// Absent is set when the server does not have what the request is for: the
-	// model is not loaded there, or another instance has the address.
+	// Absent is set if the server does not have what the request needs: the model is not
+	// loaded there, or another instance has the address.
 	Absent bool
-	// Load is set where the server tells it.
+	// Load is nil if the server does not report it.
 	Load *Load
-	// Limit is what the server tells of the requests that it takes.
+	// Limit is the request rate limit that the server reports.
 	Limit ReportedLimit
 }
 
-// ToldLimit is what an answer tells of the requests a second that its server takes from
-// all routers together.
+// ReportedLimit is a server's limit, as reported in a response, on the requests per second
+// that it accepts from all routers together.
 type ReportedLimit struct {
 	State LimitState
-	// PerSecond is the limit, of LimitNamed.
+	// PerSecond is the limit, if State is LimitReported.
 	PerSecond float64
-	// Text is what could not be read, of LimitMalformed, cut for logs.
+	// Text is the unreadable value, truncated for logs, if State is LimitMalformed.
 	Text string
 }
 
-// LimitState tells what an answer says of a limit.
+// LimitState states whether a response reports a limit.
 type LimitState uint8
 
 const (
-	// LimitNone: there is none.
+	// LimitNone: the server has no limit.
 	LimitNone LimitState = iota
-	// LimitNamed: there is one.
+	// LimitReported: the server has a limit.
 	LimitReported
-	// LimitMalformed: what stands there can't be read, and says nothing.
+	// LimitMalformed: the value can't be read and is ignored.
 	LimitMalformed
 )
 
-// Load is what a backend server tells of its load.
+// Load is the load that a backend server reports.
 type Load struct {
-	// Running and Waiting are its requests.
+	// Running and Waiting are numbers of requests.
 	Running, Waiting, Slots int
-	// HostPace is how long work takes on its host at the moment, as a multiple of the
-	// usual; 0 where it is not told.
+	// HostPace is the current duration of work on the server's host as a multiple of the
+	// usual duration; 0 if it is not reported.
 	HostPace float64
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,12 +1,12 @@
-// Package fleet holds the vocabulary of serving through routers and loaders:
-// the configuration that operators declare, the backend servers that are known
-// and the requests for them. It is plain data without I/O or clock. Package
-// platform decodes it from the wire; packages router and loader decide on it.
+// Package fleet defines the data types of request routing and model loading: the
+// configuration that operators declare, the known backend servers and the requests for
+// them. It is plain data without I/O or clock. Package platform decodes it from the wire;
+// packages router and loader make decisions based on it.
 package fleet
 
 import "time"
 
-// Kind tells whether a request may be run again.
+// Kind states whether a request may be run again.
 type Kind uint8
 
 // The kinds of a route.
@@ -22,38 +22,37 @@
 
 // Config is one version of what operators declare.
 type Config struct {
-	// Version grows with each change, in uneven steps.
+	// Version increases with each change, in uneven steps.
 	Version  int64
 	Routes   []Route
 	Services map[string]*Service
 	Limits   Limits
-	// Accounts are the client accounts. Without any, callers need no credentials.
+	// Accounts are the client accounts. If there are none, callers need no credentials.
 	Accounts []Account
 }
 
 // Route maps requests of one host name and path prefix to a service.
 type Route struct {
 	Name string
-	// Host is the host name in requests, not one of our hosts.
+	// Host is the host name in requests, not a host of the deployment.
 	Host   string
 	Prefix string
 	// Targets share the requests of the route by weight.
 	Targets []Target
 	Kind    Kind
-	// Timeout is the longest that a request may stay unanswered.
+	// Timeout is the longest time for which a request may remain unanswered.
 	Timeout time.Duration
-	// Objective is the latency within which an answer, or the first event of a
-	// stream, is worth most to the caller.
+	// Objective is the latency within which an answer, or the first event of a stream, has
+	// its full value for the caller.
 	Objective time.Duration
-	// PauseObjective is the longest pause between two events of a stream that
-	// is still on time. 0 where the route has none.
+	// PauseObjective is the longest pause between two events of a stream that still counts
+	// as on time. It is 0 if the route has none.
 	PauseObjective time.Duration
-	// Priority ranks routes, 0 first.
+	// Priority orders routes, 0 being the highest.
 	Priority int
-	// MaxAttempts is the number of backend servers to which one request may be
-	// sent.
+	// MaxAttempts is the number of backend servers to which one request may be sent.
 	MaxAttempts int
-	// Resumable streams may go on at another backend server.
+	// Resumable streams may be continued by another backend server.
 	Resumable bool
 	// Public routes need no credentials.
 	Public bool
@@ -64,10 +63,10 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Target is a share of a route's requests.
+// Target is a service with its share of a route's requests.
 type Target struct {
 	Service string
-	// Weight is any share; a service gets its part of the sum.
+	// Weight is relative: a service gets its fraction of the sum.
 	Weight float64
 }
 
@@ -86,22 +85,22 @@
 	Slots int
 	// KVTokens is the size of one engine's KV cache, in tokens.
 	KVTokens int
-	// MemoryMB holds models and adapters of one engine.
+	// MemoryMB is the memory of one engine for models and adapters.
 	MemoryMB float64
 	// AdapterSlots is the number of adapters that one engine holds.
 	AdapterSlots int
-	// StoreLoadsPerSecond bounds the loads from the weight store that begin
-	// per second, over all engines.
+	// StoreLoadsPerSecond limits the loads from the weight store that start per second,
+	// over all engines.
 	StoreLoadsPerSecond float64
 	Models              map[string]Model
 }
 
-// Model describes one model and what it costs to load it.
+// Model describes a model and its load times.
 type Model struct {
 	Name     string
 	MemoryMB float64
-	// StoreLoad, DiskLoad and HostLoad are the times of an undisturbed load
-	// from the weight store, the engine's disk and its host memory.
+	// StoreLoad, DiskLoad and HostLoad are the durations of an undisturbed load from the
+	// weight store, the engine's disk and its host memory.
 	StoreLoad, DiskLoad, HostLoad time.Duration
 	// AdapterMB is the memory of each of the model's adapters.
 	AdapterMB float64
@@ -115,30 +114,30 @@
 	IdleTimeout    time.Duration
 }
 
-// Bounds are the deployment's promises that routers and loaders work by.
+// Bounds are the promises of the deployment that routers and loaders keep.
 type Bounds struct {
-	// Drain is how long after a backend server announced that it leaves
-	// requests may still reach it.
+	// Drain is how long requests may still reach a backend server after it has announced
+	// that it shuts down.
 	Drain time.Duration
-	// ConfigDelay is how long after its acceptance a configuration may take
-	// to be in force.
+	// ConfigDelay is the longest time between the acceptance of a configuration and its
+	// being in force.
 	ConfigDelay time.Duration
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// RetryRatio and RetrySlack bound the repeats to a service within
-	// RetryWindow, over all routers: ratio x requests + slack.
+	// RetryRatio and RetrySlack limit the retries to a service within RetryWindow, over all
+	// routers: ratio x requests + slack.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// QuotaWindow, QuotaOver, QuotaSlack: within the window, what runs of an account's
-	// requests counts no more than (its rate x window + burst) x (1 + over) + slack.
+	// QuotaWindow, QuotaOver, QuotaSlack: within the window, the cost of an account's
+	// requests that run is at most (its rate x window + burst) x (1 + over) + slack.
 	QuotaWindow time.Duration
 	QuotaOver   float64
 	QuotaSlack  float64
-	// QuotaRouters is the least number of routers that there are, 0 if it is not told.
+	// QuotaRouters is the smallest number of routers that run, 0 if it is not set.
 	QuotaRouters int
-	// StoreLoadWindow, StoreLoadSlack: no more loads from the weight store
-	// begin within the window than its rate x window x slack.
+	// StoreLoadWindow, StoreLoadSlack: at most rate x window x slack loads from the weight
+	// store start within the window.
 	StoreLoadWindow time.Duration
 	StoreLoadSlack  float64
 }
--- a/internal/fleet/encode.go
+++ b/internal/fleet/encode.go
@@ -9,12 +9,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxConfigBytes bounds a configuration that another process passes on, unpacked: far above
-// the platform's largest value (1 MB).
+// maxConfigBytes is the largest decompressed size of a configuration received from another
+// process: far above the platform's largest value (1 MB).
 const maxConfigBytes = 16 << 20
 
-// EncodeConfig packs a configuration for other processes: CBOR, compressed. One of 184
-// models and 16 accounts takes a seventh of the platform's text.
+// EncodeConfig encodes a configuration for other processes as compressed CBOR. A
+// configuration of 184 models and 16 accounts takes a seventh of the platform's text.
 func EncodeConfig(config *Config) ([]byte, error) {
 	data, err := cbor.Marshal(config)
 	if err != nil {
@@ -25,14 +25,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "compress configuration")
 	}
-	_, _ = writer.Write(data) // a buffer takes all that is written
+	_, _ = writer.Write(data) // a bytes.Buffer returns no write errors
 	if err := writer.Close(); err != nil {
 		return nil, errors.Wrap(err, "compress configuration")
 	}
 	return packed.Bytes(), nil
 }
 
-// DecodeConfig unpacks what EncodeConfig returns.
+// DecodeConfig decodes the result of EncodeConfig.
 func DecodeConfig(packed []byte) (*Config, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(reader, maxConfigBytes+1))
@@ -40,7 +40,7 @@
 		return nil, errors.Wrap(err, "unpack configuration")
 	}
 	if len(data) > maxConfigBytes {
-		return nil, errors.Newf("a configuration of more than %d bytes", maxConfigBytes)
+		return nil, errors.Newf("decompressed configuration exceeds %d bytes", maxConfigBytes)
 	}
 	config := &Config{}
 	if err := cbor.Unmarshal(data, config); err != nil {
--- a/internal/fleet/encode_test.go
+++ b/internal/fleet/encode_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// largeConfig has as many models, routes and accounts as the largest deployment known.
+// largeConfig returns a configuration as large as that of the largest known deployment.
 func largeConfig() *Config {
 	engine := &Engine{Slots: 128, KVTokens: 149656, MemoryMB: 83000, AdapterSlots: 8, StoreLoadsPerSecond: 30, Models: map[string]Model{}}
 	for i := range 184 {
@@ -32,7 +32,7 @@
 	return config
 }
 
-func TestConfigSurvivesPassing(t *testing.T) {
+func TestConfigRoundTrip(t *testing.T) {
 	config := largeConfig()
 	data, err := EncodeConfig(config)
 	if err != nil {
@@ -46,13 +46,13 @@
 		t.Error(diff)
 	}
 	if strings.Contains(string(data), "key1") {
-		t.Error("a key is passed between processes")
+		t.Error("the encoded configuration contains a key")
 	}
 	t.Logf("%d bytes", len(data))
 }
 
-// A process of another release, or one that is broken, passes what is no configuration.
-// It must give an error, and must not make this one take all its memory.
+// A process of another release, or a faulty one, sends data that is not a configuration.
+// Decoding must return an error and must not use up the process's memory.
 func FuzzDecodeConfig(f *testing.F) {
 	good, err := EncodeConfig(largeConfig())
 	if err != nil {
--- a/internal/fleet/engine.go
+++ b/internal/fleet/engine.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Report is the state of an engine as it tells it to the loader beside it.
+// Report is the state of an engine that it reports to the loader on its host.
 type Report struct {
-	// Born is when this life of the engine began, as in Incarnation. A report does
-	// not tell its instance.
+	// Born is the start of the engine's process, as in Incarnation. A report does not
+	// contain the instance.
 	Born int64
-	// Busy engines carry out an order and take no other for a model.
+	// Busy engines are executing an order and accept no other order for a model.
 	Busy bool
-	// Sequence is the number of orders accepted in this life of the engine.
+	// Sequence is the number of orders that this process of the engine has accepted.
 	Sequence int64
 	Models   []LoadedModel
-	// Coming are adapters on their way, each as "MODEL/NAME".
+	// Coming are the adapters that are being loaded, each as "MODEL/NAME".
 	Coming []string
-	// InMemory and OnDisk are models with a copy near the engine.
+	// InMemory and OnDisk are the models with a copy in host memory or on the engine's
+	// disk, from which a load is fast.
 	InMemory, OnDisk []string
 	Running, Waiting int
-	// Unread is how many of both have made no event yet.
+	// Unread is the number of these requests that have not produced an event yet.
 	Unread int
-	// KVUsed are tokens of the KV cache that can't be reclaimed.
+	// KVUsed is the number of tokens in the KV cache that can't be reclaimed.
 	KVUsed, KVTotal int
 	Draining        bool
-	// LeavesIn is the time until the engine is taken away, 0 if not announced.
+	// LeavesIn is the time until the engine is removed, 0 if that is not announced.
 	LeavesIn time.Duration
 }
 
-// OrderKind tells what an order does.
+// OrderKind is the kind of an order.
 type OrderKind uint8
 
 // The kinds of orders.
@@ -35,7 +36,7 @@
 	OrderUnload
 )
 
-// String names the kind for logs.
+// String returns the kind's name in logs.
 func (k OrderKind) String() string {
 	if k == OrderLoad {
 		return "load"
@@ -43,40 +44,39 @@
 	return "unload"
 }
 
-// Order asks an engine to load or unload a model, or an adapter of a loaded
-// model.
+// Order instructs an engine to load or unload a model, or an adapter of a loaded model.
 type Order struct {
 	Kind    OrderKind
 	Model   string
 	Adapter string
-	// Sequence is the engine's order count that the decision is based on. An
-	// order that arrives late, after others, is refused by it.
+	// Sequence is the engine's order count on which the decision is based. The engine
+	// refuses an order that arrives after others.
 	Sequence int64
-	// For is the life of the engine that the order is for; its instance is "" if
-	// unknown.
+	// For is the incarnation of the engine that the order is meant for; its instance is ""
+	// if unknown.
 	For Incarnation
 }
 
-// OrderResult is what became of an order.
+// OrderResult is the result of an order.
 type OrderResult uint8
 
 // The results of orders.
 const (
-	// OrderAccepted orders are being carried out.
+	// OrderAccepted: the order is being executed.
 	OrderAccepted OrderResult = iota
-	// OrderHolds: what was ordered is already so.
+	// OrderUnchanged: the engine is already in the ordered state.
 	OrderUnchanged
-	// OrderConflict: another order is under way, or came first.
+	// OrderConflict: another order is being executed or came first.
 	OrderConflict
 	// OrderWrongInstance: another instance answered.
 	OrderWrongInstance
-	// OrderRefused: the engine does not take such an order.
+	// OrderRefused: the engine does not accept such an order.
 	OrderRefused
-	// OrderUnknown: no answer; it may be carried out seconds later.
+	// OrderUnknown: there was no answer; the order may be executed seconds later.
 	OrderUnknown
 )
 
-// String names the result for logs.
+// String returns the result's name in logs.
 func (r OrderResult) String() string {
 	return [...]string{"accepted", "holds already", "conflict", "wrong instance", "refused", "unknown"}[r]
 }
