--- a/internal/accounts/accounts.go
+++ b/internal/accounts/accounts.go
@@ -1,21 +1,21 @@
-// Package accounts tells which client account a request comes from, by its
-// credentials, and when a router may say that a key is unknown.
+// Package accounts finds the client account of a request by its credentials, and determines
+// when a router may report a key as unknown.
 //
-// Keys are held as digests only. What can't be read back can't leak by a log line, a
-// dump, a message between processes or a panic.
+// Keys are kept as digests only, so that they can't leak through a log line, a dump, a
+// message between processes or a panic.
 //
 // The package has no I/O and no clock.
 package accounts
 
 import "nutmeglane.example/nutmeglane/internal/fleet"
 
-// Directory finds accounts by the digest of their keys. It does not change.
+// Directory finds accounts by the digest of their keys. It is immutable.
 type Directory struct {
 	byKey map[fleet.KeyDigest]*fleet.Account
 }
 
-// NewDirectory returns the directory of a configuration's accounts. Of two accounts with
-// the same key the first has it.
+// NewDirectory returns the directory of a configuration's accounts. If two accounts have
+// the same key, it belongs to the first.
 func NewDirectory(list []fleet.Account) *Directory {
 	d := &Directory{byKey: map[fleet.KeyDigest]*fleet.Account{}}
 	for i := range list {
@@ -28,7 +28,7 @@
 	return d
 }
 
-// Find returns the account of a credential, nil if it names none.
+// Find returns the account of a credential, nil if it belongs to none.
 func (d *Directory) Find(credential fleet.Credential) *fleet.Account {
 	if !credential.Given {
 		return nil
@@ -36,7 +36,7 @@
 	return d.byKey[credential.Key]
 }
 
-// Dropped are the keys of a directory that a later one does not have.
+// RemovedKeys returns the keys of a directory that a later one does not have.
 func (d *Directory) RemovedKeys(later *Directory) []fleet.KeyDigest {
 	var dropped []fleet.KeyDigest
 	for key := range d.byKey {
--- a/internal/accounts/accounts_test.go
+++ b/internal/accounts/accounts_test.go
@@ -10,7 +10,7 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-func given(key string) fleet.Credential {
+func credential(key string) fleet.Credential {
 	return fleet.Credential{Given: true, Key: fleet.DigestKey(key)}
 }
 
@@ -25,16 +25,16 @@
 func TestFind(t *testing.T) {
 	d := NewDirectory([]fleet.Account{account("a", "k1", "k2"), account("b", "k3", "k1")})
 	for key, want := range map[string]string{"k1": "a", "k2": "a", "k3": "b"} {
-		if got := d.Find(given(key)); got == nil || got.Name != want {
+		if got := d.Find(credential(key)); got == nil || got.Name != want {
 			t.Errorf("key %s belongs to %v, want %s", key, got, want)
 		}
 	}
-	if d.Find(given("k4")) != nil || d.Find(fleet.Credential{}) != nil {
+	if d.Find(credential("k4")) != nil || d.Find(fleet.Credential{}) != nil {
 		t.Error("an unknown or missing key names an account")
 	}
 }
 
-func TestDropped(t *testing.T) {
+func TestRemovedKeys(t *testing.T) {
 	before := NewDirectory([]fleet.Account{account("a", "k1", "k2")})
 	after := NewDirectory([]fleet.Account{account("b", "k2")})
 	if got, want := before.RemovedKeys(after), []fleet.KeyDigest{fleet.DigestKey("k1")}; !slices.Equal(got, want) {
@@ -42,29 +42,30 @@
 	}
 }
 
-// A caller whose key was taken away calls on for hours. It must not be looked up anew with
-// each call; and a key that becomes valid must not be refused for longer than told.
-func TestRefusedKeysAreRememberedForAWhile(t *testing.T) {
+// A caller continues to use a removed key for hours. The key must not be looked up with
+// each request, and a key that becomes valid must not be refused for longer than the given
+// time.
+func TestUnknownKeysExpire(t *testing.T) {
 	r, now := NewUnknownKeys(time.Second), core.Time(time.Hour)
 	key := fleet.DigestKey("k1")
 	r.Add(now, key)
 	if !r.Has(now.Add(999*time.Millisecond), key) || r.Has(now.Add(time.Second), key) {
-		t.Error("a refused key is not remembered for just a second")
+		t.Error("an unknown key is not remembered for exactly one second")
 	}
 	r.Add(now, key)
 	r.Clear()
 	if r.Has(now, key) {
-		t.Error("a newer configuration did not clear what was refused")
+		t.Error("Clear did not remove the key")
 	}
 }
 
-// A caller tries a new key with each request. Memory must stay bounded.
-func TestRefusedKeysAreBounded(t *testing.T) {
+// A caller uses a new key with each request. Memory must stay bounded.
+func TestUnknownKeysAreBounded(t *testing.T) {
 	r := NewUnknownKeys(time.Hour)
-	for i := range 10 * maxRefused {
+	for i := range 10 * maxUnknownKeys {
 		r.Add(core.Time(i), fleet.DigestKey(fmt.Sprint(i)))
 	}
-	if len(r.until) > maxRefused {
+	if len(r.until) > maxUnknownKeys {
 		t.Errorf("%d keys are remembered", len(r.until))
 	}
 }
@@ -76,22 +77,22 @@
 	}
 	d := NewDirectory(list)
 	for b.Loop() {
-		if d.Find(given("k500")) == nil {
+		if d.Find(credential("k500")) == nil {
 			b.Fatal("not found")
 		}
 	}
 }
 
-// A key was taken away, and its holder calls for hours. It is refused without a look all the
-// while, and until a newer configuration only.
-func TestDroppedKeysStayRefused(t *testing.T) {
+// The holder of a removed key continues to use it for hours. The key must be refused
+// without a lookup until there is a newer configuration.
+func TestRemovedKeysDoNotExpire(t *testing.T) {
 	r, key := NewUnknownKeys(time.Second), fleet.DigestKey("k1")
 	r.AddRemoved(key)
 	if !r.Has(core.Time(1000*time.Hour), key) {
-		t.Error("a key that was taken away is looked up again")
+		t.Error("a removed key is looked up again")
 	}
 	r.Clear()
 	if r.Has(0, key) {
-		t.Error("a newer configuration did not clear what was refused")
+		t.Error("Clear did not remove the key")
 	}
 }
--- a/internal/accounts/unknown.go
+++ b/internal/accounts/unknown.go
@@ -7,43 +7,43 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// maxRefused bounds the keys that are remembered, at some 50 bytes each. Callers who try
-// a new key with each request would take memory without it.
-const maxRefused = 4096
+// maxUnknownKeys is the largest number of remembered keys, at about 50 bytes each. It
+// bounds the memory that callers use up who send a new key with each request.
+const maxUnknownKeys = 4096
 
-// Refused remembers keys that were found to be unknown, for a while.
+// UnknownKeys is a negative cache of keys that were looked up and not found.
 //
-// It answers this pattern: callers whose key was taken away go on calling, hundreds of
-// times a second. Each time the router would look into the store again whether the key is
-// new there, a call that costs and, until its answer, holds the request up.
+// It serves callers that continue to use a removed key, hundreds of times per second.
+// Without it, the router would look up in the store each time whether the key has been
+// added, a call that has a cost and delays the request until it returns.
 //
-// The zero value is not usable; see NewRefused.
+// The zero value is not usable; see NewUnknownKeys.
 type UnknownKeys struct {
-	lasts time.Duration
-	until map[fleet.KeyDigest]core.Time
+	lifetime time.Duration
+	until    map[fleet.KeyDigest]core.Time
 }
 
-// NewRefused returns an empty memory. What it remembers lasts so long: a key that becomes
-// valid after it was refused is refused for no longer than that.
-func NewUnknownKeys(lasts time.Duration) *UnknownKeys {
-	return &UnknownKeys{lasts: lasts, until: map[fleet.KeyDigest]core.Time{}}
+// NewUnknownKeys returns an empty cache with the given lifetime of entries: a key that
+// becomes valid after it was refused is refused for no longer than that.
+func NewUnknownKeys(lifetime time.Duration) *UnknownKeys {
+	return &UnknownKeys{lifetime: lifetime, until: map[fleet.KeyDigest]core.Time{}}
 }
 
-// Add notes that a key is unknown as of now.
+// Add records that a key is unknown at this time.
 func (r *UnknownKeys) Add(now core.Time, key fleet.KeyDigest) {
-	if len(r.until) >= maxRefused {
+	if len(r.until) >= maxUnknownKeys {
 		clear(r.until)
 	}
-	r.until[key] = max(r.until[key], now.Add(r.lasts))
+	r.until[key] = max(r.until[key], now.Add(r.lifetime))
 }
 
-// Drop notes that a key was taken away: it stays unknown until Clear.
+// AddRemoved records that a key was removed: it stays unknown until Clear.
 //
-// With a look into the store each second for each such key, 28 routers asked 2,000 times
-// within 34 s.
+// When each such key was looked up in the store once per second, 28 routers made 2,000
+// lookups within 34 s.
 func (r *UnknownKeys) AddRemoved(key fleet.KeyDigest) { r.until[key] = core.Never }
 
-// Has tells whether a key was found to be unknown a short while ago, or taken away.
+// Has reports whether a key was recently found to be unknown, or was removed.
 func (r *UnknownKeys) Has(now core.Time, key fleet.KeyDigest) bool {
 	until, ok := r.until[key]
 	if ok && now >= until {
@@ -53,5 +53,5 @@
 	return ok
 }
 
-// Clear forgets all keys: a newer configuration may have them.
+// Clear removes all keys, since a newer configuration may contain them.
 func (r *UnknownKeys) Clear() { clear(r.until) }
