--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,4 +1,4 @@
-// Package window counts uses within a sliding window of time. It has no I/O and no clock.
+// Package window sums uses within a sliding time window. It has no I/O and no clock.
 package window
 
 import (
@@ -7,17 +7,19 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Window is what was used lately. A slot that has partly left the window is still counted,
-// so that a finer count allows more. The zero value is not usable; see New.
+// Window is the sum of recent uses, kept in slots of equal length. A slot that has partly
+// left the window is still counted in full, so that more slots allow more use. The zero
+// value is not usable; see New.
 type Window struct {
 	length time.Duration
 	used   []float64
 	sum    float64
-	// current is the number of the slot of now.
+	// current is the number of the slot of the current time.
 	current int64
 }
 
-// New returns an empty window of a length, counted by so many slots, two or more.
+// New returns an empty window of the given length with the given number of slots, at least
+// two.
 func New(length time.Duration, slots int) Window {
 	return Window{length: length, used: make([]float64, slots)}
 }
@@ -42,14 +44,15 @@
 	}
 }
 
-// Add counts a use of now.
+// Add records a use at this time.
 func (w *Window) Add(now core.Time, cost float64) {
 	w.advance(now)
 	w.used[w.current%int64(len(w.used))] += cost
 	w.sum += cost
 }
 
-// Parts is the use within the window by so many parts of equal length, the oldest first.
+// Parts returns the uses within the window as count parts of equal length, the oldest
+// first.
 func (w *Window) Parts(now core.Time, count int) []float64 {
 	w.advance(now)
 	parts := make([]float64, count)
@@ -60,7 +63,7 @@
 	return parts
 }
 
-// AddParts counts a use of before now, by parts of the window.
+// AddParts adds earlier uses, given as parts of the window as Parts returns them.
 func (w *Window) AddParts(now core.Time, parts []float64) {
 	w.advance(now)
 	n, m := int64(len(w.used)), int64(len(parts))
@@ -77,7 +80,7 @@
 	return w.sum
 }
 
-// RoomIn is how long it takes until no more than most is left in the window.
+// RoomIn is the time until the remaining use within the window is at most most.
 func (w *Window) RoomIn(now core.Time, most float64) time.Duration {
 	left := w.Total(now)
 	for i := int64(1); i <= int64(len(w.used)); i++ {
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -25,6 +25,6 @@
 	other := New(8*time.Second, 16)
 	other.AddParts(start.Add(10*time.Second), w.Parts(start.Add(10*time.Second), 8))
 	if got := other.Total(start.Add(10 * time.Second)); got < 99 || got > 101 {
-		t.Errorf("told %.0f of 100", got)
+		t.Errorf("copied %.0f of 100", got)
 	}
 }
