--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -25,27 +25,27 @@
 )
 
 const (
-	// missedHeartbeats end a watch on a silent connection.
+	// missedHeartbeats is the number of missed heartbeats after which a watch is ended.
 	missedHeartbeats = 3
-	// maxAnswerBytes bounds what one answer can make the process hold.
+	// maxAnswerBytes limits the memory that one answer can use.
 	maxAnswerBytes = 64 << 20
-	// maxDrainBytes is read of an unwanted body to keep its connection.
+	// maxDrainBytes is the most that is read of an unwanted body to reuse its connection.
 	maxDrainBytes = 64 << 10
-	// idleConns are kept open for calls and watches.
+	// idleConns is the number of idle connections kept for calls and watches.
 	idleConns = 16
-	// idleTimeout closes a connection before a middlebox forgets it.
+	// idleTimeout closes an idle connection before a middlebox drops its state.
 	idleTimeout = 30 * time.Second
 )
 
 // ClientOptions are the client's settings; a zero field takes its default.
 type ClientOptions struct {
-	// CallTimeout bounds each call but a watch.
+	// CallTimeout limits the duration of each call other than a watch.
 	CallTimeout time.Duration
-	// WatchWait is how long the service holds a watch without changes.
+	// WatchWait is how long the service keeps a watch open if there are no changes.
 	WatchWait time.Duration
-	// Heartbeat is the interval of signs of life on a waiting watch.
+	// Heartbeat is the interval of heartbeats on a waiting watch.
 	Heartbeat time.Duration
-	// OnCall is told of each finished call. It must not block.
+	// OnCall is called after each call. It must not block.
 	OnCall func(op string, c code.Code)
 }
 
@@ -65,8 +65,8 @@
 	return o
 }
 
-// Client calls the key-value service. It repeats no call by itself. Its
-// methods may be called concurrently; the errors they return are *Error.
+// Client calls the key-value service. It does not retry calls. Its methods may be called
+// concurrently; the errors they return are *Error.
 type Client struct {
 	base      *sling.Sling
 	http      *http.Client
@@ -94,8 +94,7 @@
 	}, nil
 }
 
-// keepRedirect hands a redirect to the caller: following one could send a
-// write twice.
+// keepRedirect returns a redirect to the caller: following it could send a write twice.
 func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes the idle connections.
@@ -109,12 +108,12 @@
 	return item, err
 }
 
-// Cas writes a key if its revision is the expected one. The Item holds the new
-// revision or, with KVConflict, the current value and revision; a conflict at
-// the expected revision means that the lease is gone.
+// Cas writes a key if its revision is the expected one. The Item holds the new revision or,
+// with KVConflict, the current value and revision; a conflict at the expected revision
+// means that the lease no longer exists.
 func (c *Client) Cas(ctx context.Context, req CasRequest) (Item, error) {
 	if len(req.Value) > MaxValueBytes {
-		err := broken(OpCas, 0, false, errors.Newf("value of %d bytes is over the limit of %d", len(req.Value), MaxValueBytes))
+		err := incompleteError(OpCas, 0, false, errors.Newf("value of %d bytes is over the limit of %d", len(req.Value), MaxValueBytes))
 		c.opts.OnCall(string(OpCas), err.Code)
 		return Item{Key: req.Key}, err
 	}
@@ -128,8 +127,8 @@
 	return item, err
 }
 
-// Grant asks for a new lease. After KVUnknown a lease that nobody knows may
-// exist; it expires by itself.
+// Grant requests a new lease. After KVUnknown there may be a lease whose ID no process has;
+// it expires by itself.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	var lease Lease
 	req := LeaseRequest{TTLMillis: ttl.Milliseconds()}
@@ -137,7 +136,7 @@
 	return lease.Lease, err
 }
 
-// KeepAlive renews a lease. KVConflict means that the lease is gone.
+// KeepAlive renews a lease. KVConflict means that the lease no longer exists.
 func (c *Client) KeepAlive(ctx context.Context, lease int64) error {
 	var out Lease
 	return c.call(ctx, OpKeepAlive, c.base.New().Post(PathKeepAlive).BodyJSON(Lease{Lease: lease}), &out)
@@ -150,8 +149,8 @@
 	return snapshot, err
 }
 
-// Watch waits for changes after a revision of keys with a prefix. It returns
-// an empty batch after WatchWait, and ErrCompacted if the caller has to list.
+// Watch waits for changes after a revision of keys with a prefix. It returns an empty batch
+// after WatchWait, and ErrCompacted if the caller has to list the keys.
 func (c *Client) Watch(ctx context.Context, prefix string, after int64) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.WatchWait+c.opts.CallTimeout)
 	defer cancel()
@@ -169,12 +168,12 @@
 	return batch, err
 }
 
-// call makes one call with an answer that comes at once.
+// call makes a call that the service answers without waiting.
 func (c *Client) call(ctx context.Context, op Op, request *sling.Sling, out any) error {
 	return c.finish(op, c.exchange(ctx, op, request, out, c.opts.CallTimeout))
 }
 
-// finish counts a call. The typed nil of a success must not become an error.
+// finish reports a call to OnCall. It converts a nil *Error to a nil error.
 func (c *Client) finish(op Op, failure *Error) error {
 	if failure == nil {
 		c.opts.OnCall(string(op), code.OK)
@@ -184,13 +183,12 @@
 	return failure
 }
 
-// exchange sends a request and decodes its answer into out. It gives up when
-// nothing has arrived for the time silence; an answer other than a watch's
-// must be whole by then.
+// exchange sends a request and decodes its answer into out. It fails if nothing arrives for
+// the time silence; an answer other than a watch's must be complete by then.
 func (c *Client) exchange(ctx context.Context, op Op, request *sling.Sling, out any, silence time.Duration) *Error {
 	req, err := request.Request()
 	if err != nil {
-		return broken(op, 0, false, err)
+		return incompleteError(op, 0, false, err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -201,27 +199,27 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		c.dropSilent(ctx, silent)
-		return broken(op, 0, sent.Load(), err)
+		c.closeIdleIfSilent(ctx, silent)
+		return incompleteError(op, 0, sent.Load(), err)
 	}
 	defer resp.Body.Close()
 	body := io.LimitReader(resp.Body, maxAnswerBytes)
 	if op == OpWatch {
-		body = &livelyReader{reader: body, alive: func() { timer.Reset(silence) }}
+		body = &activityReader{reader: body, onActivity: func() { timer.Reset(silence) }}
 	}
 	failure := decode(op, resp.StatusCode, body, out)
 	if failure != nil {
-		c.dropSilent(ctx, silent)
+		c.closeIdleIfSilent(ctx, silent)
 	}
 	return failure
 }
 
-// dropSilent closes the idle connections after a call met silence.
+// closeIdleIfSilent closes the idle connections after a call timed out without an answer.
 //
-// It guards against open connections that went silent for good while new ones
-// work: each kept connection would cost one more time-out. The one that met
-// the silence is closed by the cancelled call itself; the next call dials.
-func (c *Client) dropSilent(ctx context.Context, silent error) {
+// It guards against open connections that no longer carry data while new ones work: each
+// idle one would cost another time-out. The connection of the call itself is closed by the
+// cancellation; the next call dials.
+func (c *Client) closeIdleIfSilent(ctx context.Context, silent error) {
 	if errors.Is(context.Cause(ctx), silent) {
 		c.transport.CloseIdleConnections()
 	}
@@ -230,12 +228,12 @@
 func decode(op Op, status int, body io.Reader, out any) *Error {
 	if status == http.StatusOK {
 		if err := json.NewDecoder(body).Decode(out); err != nil {
-			return broken(op, status, true, errors.Wrap(err, "answer"))
+			return incompleteError(op, status, true, errors.Wrap(err, "answer"))
 		}
 		drain(body)
 		return nil
 	}
-	failure := refused(op, status)
+	failure := statusError(op, status)
 	if op == OpCas && status == http.StatusConflict {
 		if err := json.NewDecoder(body).Decode(&failure.Current); err != nil {
 			return &Error{Op: op, Code: code.KVUnavailable, Status: status, cause: errors.Wrap(err, "conflict answer")}
@@ -248,17 +246,17 @@
 // drain reads the rest of a body so that its connection can be used again.
 func drain(body io.Reader) { _, _ = io.Copy(io.Discard, io.LimitReader(body, maxDrainBytes)) }
 
-// livelyReader reports each arrival of bytes.
-type livelyReader struct {
-	reader io.Reader
-	alive  func()
+// activityReader calls onActivity each time bytes arrive.
+type activityReader struct {
+	reader     io.Reader
+	onActivity func()
 }
 
 // Read implements io.Reader.
-func (r *livelyReader) Read(p []byte) (int, error) {
+func (r *activityReader) Read(p []byte) (int, error) {
 	n, err := r.reader.Read(p)
 	if n > 0 {
-		r.alive()
+		r.onActivity()
 	}
 	return n, err
 }
--- a/internal/kv/errors.go
+++ b/internal/kv/errors.go
@@ -8,18 +8,18 @@
 	"nutmeglane.example/nutmeglane/internal/code"
 )
 
-// ErrCompacted says that the changes asked for by a watch are no longer known.
+// ErrCompacted is returned by a watch whose changes the service no longer has.
 var ErrCompacted = errors.New("revision compacted: list again")
 
 // Error is the failure of a call.
 type Error struct {
 	Op Op
-	// Code is KVUnavailable (the call certainly had no effect), KVConflict or
-	// KVUnknown (a write was sent and may have taken effect).
+	// Code is KVUnavailable (the call certainly had no effect), KVConflict or KVUnknown (a
+	// write was sent and may have taken effect).
 	Code code.Code
 	// Status is the HTTP status, 0 if no answer came.
 	Status int
-	// Current is the key's present state in a conflict of a compare-and-swap.
+	// Current is the key's current state in a conflict of a compare-and-swap.
 	Current Item
 	cause   error
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-// answered reports whether the service itself answered, be it with a refusal
-// to take more calls.
+// answered reports whether the service processed the call. This excludes refusals because
+// of the rate limit.
 func answered(err error) bool {
 	c := CodeOf(err)
 	return c == code.OK || c == code.KVConflict
@@ -55,13 +55,12 @@
 	return errors.As(err, &failure) && failure.Status == http.StatusTooManyRequests
 }
 
-// broken is the error of a call without a whole answer.
+// incompleteError returns the error of a call without a complete answer.
 //
-// It guards against taking a lost answer for a failed write: once a
-// connection was got, the write may have reached the service and take effect
-// at any later moment. Only a call that never got a connection, or that reads,
-// has certainly changed nothing.
-func broken(op Op, status int, sent bool, cause error) *Error {
+// It guards against taking a lost answer for a failed write: once there is a connection,
+// the write may have reached the service and take effect at any later time. Only a read, or
+// a call that never got a connection, has certainly changed nothing.
+func incompleteError(op Op, status int, sent bool, cause error) *Error {
 	c := code.KVUnavailable
 	if sent && op.writes() {
 		c = code.KVUnknown
@@ -69,9 +68,9 @@
 	return &Error{Op: op, Code: c, Status: status, cause: cause}
 }
 
-// refused is the error of an answer whose status is not 200. The protocol says
-// which statuses had no effect; any other (500, a redirect) tells nothing.
-func refused(op Op, status int) *Error {
+// statusError returns the error of an answer whose status is not 200. The protocol defines
+// the statuses without an effect; after any other (500, a redirect) the effect is unknown.
+func statusError(op Op, status int) *Error {
 	cause := errors.Newf("status %d %s", status, http.StatusText(status))
 	switch status {
 	case http.StatusConflict:
@@ -80,6 +79,6 @@
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return &Error{Op: op, Code: code.KVUnavailable, Status: status, cause: cause}
 	default:
-		return broken(op, status, true, cause)
+		return incompleteError(op, status, true, cause)
 	}
 }
--- a/internal/kv/executor.go
+++ b/internal/kv/executor.go
@@ -20,17 +20,17 @@
 
 // ExecutorOptions are the executor's settings; a zero field takes its default.
 type ExecutorOptions struct {
-	// Workers is the number of effects carried out at once.
+	// Workers is the number of effects executed concurrently.
 	Workers int
-	// QueueLimit is the number of effects that may wait; one more is answered
+	// QueueLimit is the number of effects that may wait; further ones are answered with
 	// KVUnavailable.
 	QueueLimit int
-	// A failed watch is tried again after a uniformly random part of a window
-	// (full jitter), which doubles from FirstWindow up to MaxWindow.
+	// A failed watch is retried after a uniformly random part of a window (full jitter),
+	// which doubles from FirstWindow up to MaxWindow.
 	FirstWindow time.Duration
 	MaxWindow   time.Duration
-	// Coalesce is the wait after a batch of changes before the next watch, so
-	// that a busy prefix costs a bounded rate of calls.
+	// Coalesce is the delay after a batch of changes before the next watch, which limits
+	// the rate of calls for a prefix with many changes.
 	Coalesce time.Duration
 }
 
@@ -53,7 +53,7 @@
 	return o
 }
 
-// Executor carries out the reducer's KV effects and watches prefixes.
+// Executor executes the reducer's KV effects and watches prefixes.
 type Executor struct {
 	client *Client
 	post   func(core.Event)
@@ -65,9 +65,9 @@
 	wg     sync.WaitGroup
 }
 
-// NewExecutor starts an executor that watches the prefixes and posts
-// core.KVValue, core.KVReachable and core.KVResult events. post is called from
-// several goroutines; it may wait, but must return once Close was called.
+// NewExecutor starts an executor that watches the prefixes and posts core.KVValue,
+// core.KVReachable and core.KVResult events. post is called from several goroutines; it may
+// block, but must return once Close was called.
 func NewExecutor(client *Client, prefixes []string, post func(core.Event), opts ExecutorOptions) *Executor {
 	opts = opts.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,10 +90,10 @@
 	return e
 }
 
-// Do takes a KV effect and returns without waiting for it; a core.KVResult
-// with the same Tag follows. It returns false for any other effect. Effects on
-// one key are carried out in the order given. An effect that Close overtakes
-// has no result.
+// Do queues a KV effect and returns without waiting for it; a core.KVResult with the same
+// Tag follows. It returns false for any other effect. Effects on one key are executed in
+// the order of the calls. An effect that is not complete when Close is called has no
+// result.
 func (e *Executor) Do(effect core.Effect) bool {
 	l, tag, ok := laneOf(effect)
 	if !ok {
@@ -102,8 +102,8 @@
 	if e.queue.put(l, effect) {
 		return true
 	}
-	// The caller may be the goroutine that takes events in, so that posting
-	// from here could wait for itself.
+	// The caller may be the goroutine that receives the events, so posting here could
+	// deadlock.
 	e.wg.Go(func() { e.post(core.KVResult{Tag: tag, Code: code.KVUnavailable, Key: l.key, Lease: l.lease}) })
 	return true
 }
@@ -123,7 +123,7 @@
 	}
 }
 
-// Close ends all calls and goroutines. Do must not be called any more.
+// Close ends all calls and goroutines. Do must not be called after it.
 func (e *Executor) Close() {
 	e.cancel()
 	e.queue.close()
@@ -137,7 +137,7 @@
 		if !ok {
 			return
 		}
-		result, err := e.carryOut(effect)
+		result, err := e.execute(effect)
 		if e.ctx.Err() != nil {
 			return
 		}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (e *Executor) carryOut(effect core.Effect) (core.KVResult, error) {
+func (e *Executor) execute(effect core.Effect) (core.KVResult, error) {
 	switch eff := effect.(type) {
 	case core.KVGet:
 		item, err := e.client.Get(e.ctx, eff.Key)
@@ -166,7 +166,7 @@
 		err := e.client.KeepAlive(e.ctx, eff.Lease)
 		return core.KVResult{Tag: eff.Tag, Lease: eff.Lease}, err
 	default:
-		panic("kv: laneOf lets only KV effects pass")
+		panic("kv: laneOf accepts only KV effects")
 	}
 }
 
@@ -174,16 +174,16 @@
 	return core.KVResult{Tag: tag, Key: item.Key, Value: item.Value, Revision: item.Revision}
 }
 
-// failuresToDown is the number of failures in a row, of calls and watches
-// together, after which the service counts as unreachable.
+// failuresToDown is the number of consecutive failures, of calls and watches together,
+// after which the service counts as unreachable.
 //
-// It guards against one lost answer being taken for an outage: a steward
-// begins its grace period anew with each return of the service, and a few
-// time-outs an hour would keep it from ever reassigning a slot. In a real
-// outage the watches fail again within their first windows.
+// It guards against taking one lost answer for an outage: a steward restarts its grace
+// period each time the service becomes reachable again, and a few time-outs per hour would
+// keep it from ever reassigning a slot. In a real outage the watches fail again within
+// their first windows.
 const failuresToDown = 2
 
-// reachability turns the results of calls into core.KVReachable events.
+// reachability derives core.KVReachable events from the results of calls.
 type reachability struct {
 	post     func(core.Event)
 	mu       sync.Mutex
@@ -192,8 +192,8 @@
 	failures int
 }
 
-// note takes in the result of a call. A refusal over the rate limit tells
-// neither way: the service is there, but does not serve.
+// note records the result of a call. A refusal because of the rate limit changes nothing:
+// the service is reachable but does not serve the call.
 func (r *reachability) note(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +210,7 @@
 	}
 }
 
-// set posts under the lock, so that events come in the order of the changes.
+// set posts while it holds the lock, so that events are posted in the order of the changes.
 func (r *reachability) set(up bool) {
 	if r.known && r.up == up {
 		return
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -21,8 +21,8 @@
 	standin "nutmeglane.example/nutmeglane/internal/standin/kv"
 )
 
-// hang ends a test that waits for something that does not come.
-const hang = 30 * time.Second
+// testTimeout is the time after which a test that waits for an event fails.
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -52,7 +52,7 @@
 	return client
 }
 
-// execute starts an executor; its events come in the channel.
+// execute starts an executor that sends its events to the channel.
 func (r *rig) execute(t *testing.T, opts kv.ExecutorOptions, prefixes ...string) (*kv.Executor, <-chan core.Event) {
 	t.Helper()
 	events := make(chan core.Event, 1024)
@@ -64,10 +64,10 @@
 	return e, events
 }
 
-// next returns the next event of type E and drops those of other types.
+// next returns the next event of type E and discards those of other types.
 func next[E core.Event](t *testing.T, events <-chan core.Event) E {
 	t.Helper()
-	guard := time.After(hang)
+	guard := time.After(testTimeout)
 	for {
 		select {
 		case ev := <-events:
@@ -75,7 +75,7 @@
 				return e
 			}
 		case <-guard:
-			t.Fatalf("no %T came", *new(E))
+			t.Fatalf("no %T event received", *new(E))
 		}
 	}
 }
@@ -118,18 +118,18 @@
 	}
 	for _, step := range steps {
 		if !e.Do(step.effect) {
-			t.Fatalf("%T was not taken", step.effect)
+			t.Fatalf("%T was not accepted", step.effect)
 		}
 		equal(t, next[core.KVResult](t, events), step.want)
 	}
 	if e.Do(core.Ready{}) {
-		t.Fatal("an effect of another kind was taken")
+		t.Fatal("an effect of another kind was accepted")
 	}
 }
 
-// A steward gives several writes of one key at once, each on the revision that
-// the one before will make. Were they sent side by side by different workers,
-// most would meet a conflict with their own sender.
+// A steward issues several writes of one key at once, each based on the revision that the
+// previous one will create. If different workers sent them concurrently, most would
+// conflict with each other.
 func TestEffectsOnOneKeyKeepTheirOrder(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
 	e, events := r.execute(t, kv.ExecutorOptions{Workers: 4})
@@ -142,9 +142,9 @@
 	}
 }
 
-// A write takes effect and its answer is lost. A process that took this for a
-// failure would decide once more on a state that is no longer there, so the
-// result must be "unknown", and the write must not be sent again on the way.
+// A write takes effect and its answer is lost. A process that takes this for a failure
+// would decide again based on an outdated state, so the result must be "unknown", and the
+// client must not send the write again.
 func TestLostAnswerOfAWriteIsUnknown(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
 	revision := r.write(t, "k", "old", 0) // so that a kept connection is used
@@ -157,8 +157,8 @@
 	equal(t, r.service.Stats().Calls[kv.OpCas], int64(2))
 }
 
-// The service takes a write and is slower than the call's time-out. The write
-// takes effect after the client gave it up: its result must be "unknown".
+// The service receives a write and takes longer than the call's time-out. The write takes
+// effect after the client has given up, so the result must be "unknown".
 func TestTimedOutWriteIsUnknownAndMayTakeEffectLater(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{CallTimeout: 20 * time.Millisecond})
 	r.service.SetFaults(standin.Faults{DelayMillis: 200})
@@ -166,14 +166,14 @@
 	equal(t, kv.CodeOf(err), code.KVUnknown)
 	_, err = r.client.Get(context.Background(), "k")
 	equal(t, kv.CodeOf(err), code.KVUnavailable)
-	watcher := newClient(t, r.http.URL, kv.ClientOptions{CallTimeout: hang, Heartbeat: hang, WatchWait: hang})
+	watcher := newClient(t, r.http.URL, kv.ClientOptions{CallTimeout: testTimeout, Heartbeat: testTimeout, WatchWait: testTimeout})
 	batch, err := watcher.Watch(context.Background(), "k", 0)
 	equal(t, err, nil)
 	equal(t, batch.Revision, int64(1))
 }
 
-// Nothing listens, or the service says that it is down, or a call is over the
-// rate limit: the write surely had no effect, and may be tried again safely.
+// Nothing listens at the address, or the service reports that it is down, or a call exceeds
+// the rate limit: the write certainly had no effect and may be retried.
 func TestRefusedWriteIsUnavailable(t *testing.T) {
 	write := kv.CasRequest{Key: "k", Value: []byte("v")}
 	t.Run("refused connection", func(t *testing.T) {
@@ -199,8 +199,8 @@
 	})
 }
 
-// A holder's lease runs out while somebody watches the key bound to it; the
-// watcher must hear of the deletion, and the holder that it lost the lease.
+// A lease expires while a watch on the key bound to it is open. The watcher must report the
+// deletion, and the lease's holder must learn that it lost the lease.
 func TestExpiredLeaseDeletesItsKey(t *testing.T) {
 	clock := &clock{now: time.Unix(0, 0)}
 	r := newRig(t, standin.Options{Now: clock.Now}, kv.ClientOptions{})
@@ -216,9 +216,9 @@
 	equal(t, next[core.KVResult](t, events).Code, code.KVConflict)
 }
 
-// The service is down for long. Meanwhile one key changes, one is deleted as
-// its lease runs out, and the history of changes is dropped. Once the service
-// is back, the reducer must hear of both changes, and of nothing unchanged.
+// During a long outage of the service, one key changes, one is deleted because its lease
+// expires, and the history of changes is discarded. After the outage both changes must be
+// posted, and nothing that did not change.
 func TestWatchCatchesUpAfterAnOutage(t *testing.T) {
 	clock := &clock{now: time.Unix(0, 0)}
 	r := newRig(t, standin.Options{Now: clock.Now}, kv.ClientOptions{})
@@ -247,7 +247,7 @@
 
 	r.service.SetFaults(standin.Faults{Down: true})
 	equal(t, next[core.KVReachable](t, events), core.KVReachable{Up: false})
-	cut.Store(true) // the outage goes on for the executor, while the test edits
+	cut.Store(true) // the outage continues for the executor while the test writes
 	r.service.SetFaults(standin.Faults{})
 	r.write(t, "p/changing", "2", changing)
 	clock.advance(time.Minute)
@@ -260,10 +260,10 @@
 	equal(t, next[core.KVReachable](t, events), core.KVReachable{Up: true})
 }
 
-// A process is paused between two watches for so long that the service has
-// forgotten the changes in between. An empty batch would hide them for good:
-// the answer must say that a list is needed.
-func TestCompactedWatchSaysSo(t *testing.T) {
+// A process is suspended between two watches for so long that the service has discarded the
+// changes in between. An empty batch would hide them for good: the answer must require a
+// list.
+func TestCompactedWatchReturnsErrCompacted(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
 	r.write(t, "k", "1", 0)
 	r.service.SetFaults(standin.Faults{CompactNow: true})
@@ -276,8 +276,8 @@
 	equal(t, snapshot, kv.Snapshot{Revision: 1, Items: []kv.Item{{Key: "k", Value: []byte("1"), Revision: 1}}})
 }
 
-// A single call fails and the next one works. Reporting an outage would start
-// a steward's grace period anew each time.
+// A single call fails and the next one succeeds. Reporting an outage would restart a
+// steward's grace period each time.
 func TestOneFailureIsNoOutage(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
 	e, events := r.execute(t, kv.ExecutorOptions{})
@@ -289,10 +289,9 @@
 	equal(t, next[core.Event](t, events), core.KVResult{Tag: 2, Lease: 2})
 }
 
-// Something between the two ends forgets the connection of a waiting watch: no
-// byte comes any more, and no error. Without a sign of life the process would
-// miss changes until the end of the long poll. It must go on by a new
-// connection and learn of the change.
+// A device on the path drops the connection of a waiting watch: no more bytes arrive, and
+// no error. Without heartbeats the process would miss changes until the end of the long
+// poll. It must open a new connection and receive the change.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
 	silent := make(chan struct{})
@@ -311,29 +310,28 @@
 	}))
 	t.Cleanup(front.Close)
 	t.Cleanup(r.service.Close)
-	r.client = newClient(t, front.URL, kv.ClientOptions{Heartbeat: 100 * time.Millisecond, WatchWait: 2 * hang})
+	r.client = newClient(t, front.URL, kv.ClientOptions{Heartbeat: 100 * time.Millisecond, WatchWait: 2 * testTimeout})
 	_, events := r.execute(t, kv.ExecutorOptions{}, "k")
 	<-silent
 	r.write(t, "k", "v", 0)
 	equal(t, next[core.KVValue](t, events), core.KVValue{Key: "k", Value: []byte("v"), Revision: 1})
 }
 
-// More effects are given than may wait, while the service hangs. The surplus
-// must be answered as having had no effect, not be kept or dropped.
+// More effects are given than may wait, while the service hangs. The surplus ones must be
+// answered as without effect, not be kept or dropped.
 func TestFullQueueIsAnswered(t *testing.T) {
-	r := newRig(t, standin.Options{}, kv.ClientOptions{CallTimeout: hang})
-	r.service.SetFaults(standin.Faults{DelayMillis: (2 * hang).Milliseconds()})
+	r := newRig(t, standin.Options{}, kv.ClientOptions{CallTimeout: testTimeout})
+	r.service.SetFaults(standin.Faults{DelayMillis: (2 * testTimeout).Milliseconds()})
 	e, events := r.execute(t, kv.ExecutorOptions{Workers: 1, QueueLimit: 1})
-	for tag := range 3 { // one may be in work, one waits
+	for tag := range 3 { // one may be in execution, one waits
 		e.Do(core.KVGet{Tag: uint64(tag), Key: "k"})
 	}
 	got := next[core.KVResult](t, events)
 	equal(t, got, core.KVResult{Tag: got.Tag, Code: code.KVUnavailable, Key: "k"})
 }
 
-// Several processes increment one counter by compare-and-swap, and some of the
-// answers are lost. Each increment must count at most once, and once if it was
-// confirmed.
+// Several processes increment one counter by compare-and-swap, and some of the answers are
+// lost. Each increment must count at most once, and exactly once if it was confirmed.
 func TestCompareAndSwapLosesNoUpdate(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
 	r.service.SetFaults(standin.Faults{LoseWriteAnswers: 10})
@@ -371,7 +369,7 @@
 	equal(t, unknown, 10)
 }
 
-// clock is a clock that a test moves.
+// clock is a clock that the test advances.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -3,28 +3,30 @@
 //
 // # Protocol
 //
-// HTTP/1.1 with JSON bodies; values travel in base64. Every change of a key
+// HTTP/1.1 with JSON bodies; values are encoded in base64. Every change of a key
 // takes the next revision of the whole store, and a key's revision is that of
 // its last change.
 //
 //	GET  /v1/get?key=K              200 Item; Revision 0: no such key
 //	POST /v1/cas CasRequest         200 Item (without the value)
 //	                                409 Item: the current one. If its revision
-//	                                is the expected one, the lease is gone.
+//	                                is the expected one, the lease does not
+//	                                exist.
 //	POST /v1/lease LeaseRequest     200 Lease
-//	POST /v1/keepalive Lease        200 Lease; 409: the lease is gone
+//	POST /v1/keepalive Lease        200 Lease; 409: the lease does not exist
 //	GET  /v1/list?prefix=P          200 Snapshot
 //	GET  /v1/watch?prefix=P&after=R&wait_ms=W&heartbeat_ms=H
 //	                                200 Batch, once a key with the prefix
 //	                                changed after revision R, or empty after W
 //
-// A waiting watch counts as one call. Its answer's header comes at once, and a
-// line feed every H milliseconds until the batch, so that a silent connection
-// is noticed. Batch.Compacted says that changes after R are no longer known:
+// A waiting watch counts as one call. The header of its answer is sent at once, and a
+// line feed every H milliseconds until the batch, so that a dead connection is
+// detected. Batch.Compacted means that the changes after R have been discarded:
 // list again.
 //
 // The other statuses are 400 (malformed), 413 (value over MaxValueBytes),
 // 429 (over the rate limit) and 503 (down); none of them has any effect.
+// 429 (over the rate limit) and 503 (down); none of them has any effect.
 package kv
 
 // The paths of the service.
@@ -40,7 +42,7 @@
 // MaxValueBytes is the service's limit on a value, before base64.
 const MaxValueBytes = 1 << 20
 
-// Op names a kind of call, for counters.
+// Op is the kind of a call, for counters.
 type Op string
 
 // The kinds of call.
@@ -64,8 +66,8 @@
 	Revision int64  `json:"revision"`
 }
 
-// CasRequest writes Value if the key's revision is Revision (0: the key must
-// not exist). The key is deleted when Lease expires; 0 binds it to none.
+// CasRequest writes Value if the key's revision is Revision (0: the key must not exist).
+// The key is deleted when Lease expires; with 0 it is not bound to a lease.
 type CasRequest struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -78,7 +80,7 @@
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// Lease names a granted lease.
+// Lease identifies a granted lease.
 type Lease struct {
 	Lease int64 `json:"lease"`
 }
@@ -90,7 +92,7 @@
 	Items    []Item `json:"items"`
 }
 
-// Change is one change of a key, as a watch reports it.
+// Change is a change of a key, as reported by a watch.
 type Change struct {
 	Item
 	Deleted bool `json:"deleted,omitempty"`
--- a/internal/kv/queue.go
+++ b/internal/kv/queue.go
@@ -6,21 +6,21 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// lane names effects that are carried out one after the other: those of a key,
-// or of a lease. A lease grant has a lane of its own by its tag.
+// lane identifies effects that are executed sequentially: those on a key or a lease. A
+// lease grant has a lane of its own, identified by its tag.
 type lane struct {
 	key   string
 	lease int64
 	tag   uint64
 }
 
-// queue holds effects for a few workers, in order per lane, up to a limit.
+// queue holds up to limit effects for the workers, in order for each lane.
 type queue struct {
 	mu    sync.Mutex
 	wake  *sync.Cond
 	limit int
 	size  int
-	// waiting has an entry for each lane that is ready or in work.
+	// waiting has an entry for each lane that is ready or being worked on.
 	waiting map[lane][]core.Effect
 	ready   []lane
 	closed  bool
@@ -49,8 +49,8 @@
 	return true
 }
 
-// take waits for an effect; it returns false once the queue is closed. The
-// lane gives out no other effect until done.
+// take waits for an effect; it returns false once the queue is closed. No other effect of
+// the lane is returned before done is called.
 func (q *queue) take() (lane, core.Effect, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/kv/watcher.go
+++ b/internal/kv/watcher.go
@@ -10,24 +10,24 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// failuresToList is the number of failures in a row after which a watcher
-// lists again instead of resuming its watch. A single broken connection is
-// resumed, so that a blip does not make every process read whole prefixes;
-// after an outage the service may have been restored to another state.
+// failuresToList is the number of consecutive failures after which a watcher lists again
+// instead of resuming its watch. A single broken connection is resumed, so that a short
+// interruption does not make every process read whole prefixes; after an outage the service
+// may have been restored to another state.
 const failuresToList = 2
 
-// watcher keeps the reducer informed of the keys with one prefix: it lists,
-// then watches from the listed revision.
+// watcher posts the changes of the keys with one prefix: it lists, then watches from the
+// listed revision.
 type watcher struct {
 	prefix string
 	client *Client
 	post   func(core.Event)
 	reach  *reachability
 	opts   ExecutorOptions
-	// listed is false when the next step has to list.
+	// listed is false if the next step has to list.
 	listed   bool
 	revision int64
-	// known has the revision last posted of each existing key.
+	// known has the last posted revision of each existing key.
 	known    map[string]int64
 	failures int
 }
@@ -49,8 +49,8 @@
 	}
 }
 
-// step lists or watches once and returns the wait before the next step. Also a
-// compacted watch is followed by a wait: the list may be compacted at once.
+// step lists or watches once and returns the delay before the next step. A compacted watch
+// is also followed by a delay, since the list may be compacted again at once.
 func (w *watcher) step(ctx context.Context) time.Duration {
 	changed, err := w.call(ctx)
 	if ctx.Err() != nil {
@@ -83,11 +83,11 @@
 	return rand.N(window)
 }
 
-// maxDoublings keeps the window from overflowing.
+// maxDoublings prevents an overflow of the window.
 const maxDoublings = 16
 
-// list posts what differs from the keys posted before. A key that is missing
-// in the list was deleted while nobody watched.
+// list posts the differences from the previously posted keys. A key that is missing in the
+// list was deleted while there was no watch.
 func (w *watcher) list(ctx context.Context) error {
 	snapshot, err := w.client.List(ctx, w.prefix)
 	if err != nil {
@@ -137,7 +137,7 @@
 	w.post(core.KVValue(change.Item))
 }
 
-// pause waits for d or the end of ctx.
+// pause waits until d has passed or ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
