--- a/internal/hostlist/hostlist.go
+++ b/internal/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist polls the platform's list of hosts: GET answers one
-// core.Host as JSON a line.
+// Package hostlist polls the platform's list of hosts: GET returns one core.Host as JSON
+// per line.
 package hostlist
 
 import (
@@ -19,18 +19,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// DefaultTimeout bounds one read of the list.
+// DefaultTimeout is the default of Options.Timeout.
 const DefaultTimeout = 5 * time.Second
 
-// maxListBytes bounds what a list can make the process hold: a line takes
-// about 150 bytes, so that this is a hundred thousand hosts.
+// maxListBytes limits the memory that a list can use: at about 150 bytes per line, this is
+// a hundred thousand hosts.
 const maxListBytes = 16 << 20
 
 // Options are the poller's settings; a zero field takes its default.
 type Options struct {
-	// Timeout bounds one read.
+	// Timeout limits the duration of one read.
 	Timeout time.Duration
-	// OnRead is told of each finished read. It must not block.
+	// OnRead is called after each read. It must not block.
 	OnRead func(err error)
 }
 
@@ -44,16 +44,15 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
-	// last is the list posted last, nil before the first, and etag the tag
-	// that the platform gave it, if any.
+	// last is the last posted list, nil before the first, and etag its entity tag, if the
+	// platform sent one.
 	last []core.Host
 	etag string
 }
 
-// NewPoller starts a poller of the URL. The first list read and each that
-// differs from the one before is posted as core.HostList, ordered by ID; after
-// a failed read nothing is. post may wait, but must return once Close was
-// called.
+// NewPoller starts a poller of the URL. The first list and each list that differs from the
+// previous one is posted as core.HostList, ordered by ID; nothing is posted after a failed
+// read. post may block, but must return once Close was called.
 func NewPoller(url string, interval time.Duration, post func(core.Event), opts Options) *Poller {
 	if opts.Timeout == 0 {
 		opts.Timeout = DefaultTimeout
@@ -89,8 +88,8 @@
 	}
 }
 
-// pause waits for the interval give or take half, so that processes started
-// together do not read together for good.
+// pause waits for the interval plus or minus up to half of it, so that processes that were
+// started together do not stay synchronized.
 func (p *Poller) pause() {
 	timer := time.NewTimer(p.interval/2 + rand.N(max(p.interval, 1)))
 	defer timer.Stop()
@@ -107,7 +106,7 @@
 	}
 	p.opts.OnRead(err)
 	if err != nil {
-		// The connection may have gone silent for good: the next read dials.
+		// The connection may be dead: the next read dials.
 		p.client.CloseIdleConnections()
 		return
 	}
@@ -119,8 +118,8 @@
 	p.post(core.HostList{Hosts: slices.Clone(hosts)})
 }
 
-// read returns the list and its tag. A list that is still the last one is not
-// sent again: at thousands of hosts it would be most of what a daemon receives.
+// read returns the list and its entity tag. The platform does not send an unchanged list
+// again: with thousands of hosts, it would be most of what a daemon receives.
 func (p *Poller) read() ([]core.Host, string, error) {
 	ctx, cancel := context.WithTimeout(p.ctx, p.opts.Timeout)
 	defer cancel()
@@ -143,27 +142,28 @@
 	case resp.StatusCode != http.StatusOK:
 		return nil, "", errors.Newf("host list: status %d", resp.StatusCode)
 	}
-	if err := delimited(resp); err != nil {
+	if err := checkDelimited(resp); err != nil {
 		return nil, "", err
 	}
 	hosts, err := parse(resp.Body)
 	return hosts, resp.Header.Get("ETag"), err
 }
 
-// delimited refuses an answer that ends with its connection.
+// checkDelimited returns an error for an answer that is delimited only by the end of its
+// connection.
 //
-// It guards against a list cut at the end of a line: the hosts missing in it
-// would be taken for reclaimed, which is a proof that their slots are free.
-// With a length or chunks the HTTP client reports the cut as an error.
-func delimited(resp *http.Response) error {
+// It guards against a list that is truncated at the end of a line: hosts missing in it
+// would count as reclaimed, which proves that their slots are free. With a length or chunks
+// the HTTP client reports the truncation as an error.
+func checkDelimited(resp *http.Response) error {
 	if resp.ContentLength >= 0 || slices.Contains(resp.TransferEncoding, "chunked") {
 		return nil
 	}
-	return errors.New("host list: answer without a length could be cut")
+	return errors.New("host list: answer without a length may be truncated")
 }
 
-// parse reads a list. Any doubtful line voids the whole list, and so does an
-// empty one: the platform runs at least the host that reads it.
+// parse reads a list. Any invalid line makes the whole list invalid, and so does an empty
+// list: the platform runs at least the host that reads it.
 func parse(body io.Reader) ([]core.Host, error) {
 	limited := &io.LimitedReader{R: body, N: maxListBytes + 1}
 	lines := json.NewDecoder(limited)
@@ -195,7 +195,7 @@
 			return errors.Newf("host list: host %q in state %q", h.ID, h.State)
 		}
 		if i > 0 && hosts[i-1].ID == h.ID {
-			return errors.Newf("host list: host %q is there twice", h.ID)
+			return errors.Newf("host list: host %q is listed twice", h.ID)
 		}
 	}
 	return nil
--- a/internal/hostlist/hostlist_test.go
+++ b/internal/hostlist/hostlist_test.go
@@ -16,8 +16,8 @@
 	"nutmeglane.example/nutmeglane/internal/standin/hosts"
 )
 
-// hang ends a test that waits for something that does not come.
-const hang = 30 * time.Second
+// testTimeout is the time after which a test that waits for an event fails.
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -48,8 +48,8 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(hang):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("nothing received")
 		panic("unreachable")
 	}
 }
@@ -62,7 +62,7 @@
 		Now:   func() time.Time { return time.Unix(seconds.Load(), 0) },
 	})
 	events, reads := poll(t, list)
-	// After three reads, one that began after the change was also posted.
+	// After three reads, the result of one that began after the change has been posted.
 	read := func() {
 		t.Helper()
 		for range 3 {
@@ -93,10 +93,10 @@
 	expect(host("b"))
 }
 
-// The list breaks off, comes back empty, or holds a line that makes no sense.
-// Hosts missing in it would be taken for reclaimed, and their slots given away
-// while they still hold them loaded. Nothing must be posted.
-func TestDoubtfulListIsNotPosted(t *testing.T) {
+// The list is truncated, empty, or contains an invalid line. Hosts missing in it would
+// count as reclaimed, and their slots would be reassigned while they still have them
+// loaded. Nothing must be posted.
+func TestInvalidListIsNotPosted(t *testing.T) {
 	const line = `{"id":"a","address":"127.0.0.1:1","zone":"olten","role":"backend","state":"live"}` + "\n"
 	answers := map[string]http.HandlerFunc{
 		"error status": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
@@ -131,8 +131,8 @@
 	}
 }
 
-// At thousands of hosts the list is hundreds of kilobytes, and every daemon
-// reads it every few seconds. One that did not change must not be sent again.
+// With thousands of hosts the list has hundreds of kilobytes, and every daemon reads it
+// every few seconds. An unchanged list must not be sent again.
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	list := hosts.New(hosts.Options{Hosts: []core.Host{host("a")}})
 	var sent atomic.Int64
