--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -199,7 +199,7 @@
 // watchLag tells the reducer how long work waits for the processor.
 func (p *routerProcess) watchLag(ctx context.Context) {
 	var waits schedWaits
-	every(ctx, lagInterval, func() { p.gateway.Step(router.Lagged{Wait: waits.lately()}) })
+	every(ctx, lagInterval, func() { p.gateway.Step(router.CPUWaitMeasured{Wait: waits.lately()}) })
 }
 
 // every calls f at each interval until ctx ends.
@@ -227,26 +227,26 @@
 		switch m := e.Message.(type) {
 		case core.Holdings:
 			p.reader.heardOf(m.Config)
-			p.gateway.Step(router.LoaderSaid{Loader: e.From, Holdings: m})
+			p.gateway.Step(router.LoaderReported{Loader: e.From, Holdings: m})
 		case core.Counts:
-			p.gateway.Step(router.LoaderCounted{Loader: e.From, Counts: m})
+			p.gateway.Step(router.LoaderCountsReported{Loader: e.From, Counts: m})
 		case core.LoadDigest:
 			p.reader.heardOf(m.Config)
-			p.gateway.Step(router.DigestHeard{Digest: m})
+			p.gateway.Step(router.DigestReceived{Digest: m})
 		case core.SpecWanted:
-			p.gateway.Step(router.LoaderWantsSpec{Loader: e.From})
+			p.gateway.Step(router.LoaderSpecRequested{Loader: e.From})
 		case core.ConfigWanted:
 			p.passConfig(e.From, m.Above)
 		case core.ConfigPassed:
 			p.takeConfig(m)
 		case core.QuotaTold:
-			p.gateway.Step(router.LoaderToldQuota{Loader: e.From, Told: m})
+			p.gateway.Step(router.LoaderAnsweredQuota{Loader: e.From, Answer: m})
 		case core.LimitTold:
-			p.gateway.Step(router.LoaderLimited{Loader: e.From, Told: m})
+			p.gateway.Step(router.LoaderAnsweredLimit{Loader: e.From, Answer: m})
 		case core.RegistryNews:
 			p.reader.hear(m)
 		case core.PoisonNews:
-			p.gateway.Step(router.PoisonHeard{News: m})
+			p.gateway.Step(router.PoisonReported{News: m})
 		}
 	}
 }
@@ -270,7 +270,7 @@
 			operator.WriteNoFingerprint(w, err)
 			return
 		}
-		p.gateway.Step(router.Lift{Fingerprint: fingerprint})
+		p.gateway.Step(router.LiftPoison{Fingerprint: fingerprint})
 		operator.WriteLifted(w, p.settings.Host, fingerprint.String())
 	})
 }
--- a/internal/daemon/storereader.go
+++ b/internal/daemon/storereader.go
@@ -210,10 +210,10 @@
 		s.confirm(begun)
 	}
 	if reading == registry.Restored {
-		s.gateway.Step(router.StoreWentBack{To: snapshot.At})
+		s.gateway.Step(router.StoreRestored{To: snapshot.At})
 		s.gateway.Step(router.BackendsRestored{Backends: snapshot.Backends})
 	} else {
-		s.gateway.Step(router.PoisonHeard{News: decodeNotes(snapshot.Notes, s.log)})
+		s.gateway.Step(router.PoisonReported{News: decodeNotes(snapshot.Notes, s.log)})
 		s.gateway.Step(router.BackendsRead{Backends: snapshot.Backends})
 	}
 	if snapshot.Config == nil {
@@ -260,7 +260,7 @@
 	if s.reader.ReadChanges(clock.Now(), revision, changes.At) == registry.Current {
 		poison := decodeNotes(changes.Notes, s.log)
 		s.passOn(revision, changes, poison)
-		s.gateway.Step(router.PoisonHeard{News: poison})
+		s.gateway.Step(router.PoisonReported{News: poison})
 		s.gateway.Step(router.BackendsChanged{Written: changes.Written, Removed: changes.Removed})
 	}
 	return nil
@@ -291,7 +291,7 @@
 	}
 	var to []core.HostID
 	s.gateway.Look(func(r *router.Router) {
-		news.Written = r.NewsOf(changes.Written)
+		news.Written = r.ChangedEntries(changes.Written)
 		to = r.Relays(relays)
 	})
 	s.send(to, news)
@@ -303,7 +303,7 @@
 	defer s.mu.Unlock()
 	s.countReaders()
 	if s.reader.Hear(clock.Now(), news.From, core.StorePosition{Era: news.Era, Revision: news.To}) == registry.Current {
-		s.gateway.Step(router.NewsHeard{News: news})
+		s.gateway.Step(router.NewsReceived{News: news})
 	}
 	s.want(news.Config)
 }
@@ -321,7 +321,7 @@
 		return
 	}
 	s.wanted, s.wantedDue = version, clock.Now().Add(s.spreadWait())
-	s.gateway.Step(router.ConfigHeard{Version: version})
+	s.gateway.Step(router.ConfigAnnounced{Version: version})
 	s.wakeUp()
 }
 
@@ -329,7 +329,7 @@
 // it is not, as with the registry's news.
 func (s *storeReader) spreadWait() time.Duration {
 	wait := time.Duration(0)
-	s.gateway.Look(func(r *router.Router) { wait = r.SpreadWait() })
+	s.gateway.Look(func(r *router.Router) { wait = r.ConfigRelayWait() })
 	return time.Duration(s.reader.Share() * float64(wait))
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -184,7 +184,7 @@
 // callerLeft ends the request and the handler.
 func (c *call) callerLeft() {
 	c.drop()
-	c.gateway.Step(router.Gone{Key: c.key})
+	c.gateway.Step(router.CallerLeft{Key: c.key})
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -64,7 +64,7 @@
 	c := g.register(r, body)
 	c.info, c.writer = info, w
 	defer g.forget(c)
-	stop := context.AfterFunc(r.Context(), func() { g.Step(router.Gone{Key: c.key}) })
+	stop := context.AfterFunc(r.Context(), func() { g.Step(router.CallerLeft{Key: c.key}) })
 	defer stop()
 	g.Step(router.Arrived{Key: c.key, Request: info})
 	c.serve()
@@ -167,7 +167,7 @@
 	deadline := time.Now().Add(limit + attemptSlack)
 	conn, err := c.connect(d, limit)
 	if errors.Is(err, errNoConnFree) {
-		c.fail(d, router.ConnsUsed, err)
+		c.fail(d, router.ConnsExhausted, err)
 		return
 	}
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -15,11 +15,11 @@
 
 // Options are what a gateway needs around it.
 type Options struct {
-	// Links carries out Dial, Hangup and Tell. It must not call back.
+	// Links carries out Dial, Hangup and SendDemand. It must not call back.
 	Links interface{ Do(core.Effect) bool }
 	// Publish carries out Publish. It must not call back. Nil where there is no store.
 	Publish func(router.Publish)
-	// LookIntoStore carries out the effect of that name. It must not call back. Nil where
+	// LookIntoStore carries out router.ReadStore. It must not call back. Nil where
 	// there is no store.
 	LookIntoStore func()
 	// Metrics carries out Count and Observe.
@@ -86,13 +86,13 @@
 		g.opts.Links.Do(core.Dial{Peer: e.Loader, Address: e.Address})
 	case router.Hangup:
 		g.opts.Links.Do(core.Hangup{Peer: e.Loader})
-	case router.Tell:
+	case router.SendDemand:
 		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Demand})
-	case router.TellRouters:
+	case router.RelayPoison:
 		for _, to := range e.Via {
 			g.opts.Links.Do(core.Send{To: to, Message: e.News})
 		}
-	case router.TellDigest:
+	case router.RelayDigest:
 		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Digest})
 	case router.AskConfig:
 		for _, to := range e.Loaders {
@@ -106,7 +106,7 @@
 		if g.opts.Publish != nil {
 			g.opts.Publish(e)
 		}
-	case router.LookIntoStore:
+	case router.ReadStore:
 		if g.opts.LookIntoStore != nil {
 			g.opts.LookIntoStore()
 		}
@@ -129,7 +129,7 @@
 
 func (g *Gateway) log(e router.Log) {
 	logger := g.opts.Log
-	if e.About == router.OneRequest {
+	if e.About == router.SingleRequest {
 		logger = g.opts.Requests
 	}
 	logger.LogAttrs(context.Background(), slog.LevelInfo, e.Message, e.Attrs...)
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -29,13 +29,13 @@
 	r.release(req)
 	// Guards against leaving out a server for our own limit: its other requests
 	// are served well, and the rest of the load would fall on fewer servers.
-	if e.Failure != ConnsUsed {
+	if e.Failure != ConnsExhausted {
 		r.failed(b, e.Failure, e.Cause)
 	}
-	r.log(OneRequest, "attempt failed", req.attrs("instance", b.Instance, "attempt", e.Attempt,
+	r.log(SingleRequest, "attempt failed", req.attrs("instance", b.Instance, "attempt", e.Attempt,
 		"failure", e.Failure.String(), "cause", e.Cause, "fingerprint", req.fingerprint.String())...)
 	r.noteConnection(b, req, e)
-	if e.Failure == NotSent || e.Failure == ConnsUsed {
+	if e.Failure == NotSent || e.Failure == ConnsExhausted {
 		req.sends--
 		r.dispatch(req)
 		return
@@ -106,7 +106,7 @@
 	r.release(req)
 	req.arrivals++
 	b.failing += (1 - b.failing) * smoothing
-	r.log(OneRequest, "backend server refused the request", req.attrs("instance", b.Instance,
+	r.log(SingleRequest, "backend server refused the request", req.attrs("instance", b.Instance,
 		"attempt", e.Attempt, "status", e.Answer.Status)...)
 	if e.Answer.Absent && req.prompt != nil {
 		// The registry's word is old; without a loader's it would lead the next
@@ -178,7 +178,7 @@
 	r.ranWell(req)
 	delete(r.requests, req.key)
 	r.emit(Count{core.Count{Name: metricRequests, Labels: []string{req.service, code.OK.String()}, Add: 1}})
-	r.log(OneRequest, "request served", req.attrs("instance", b.Instance, "attempts", req.number,
+	r.log(SingleRequest, "request served", req.attrs("instance", b.Instance, "attempts", req.number,
 		"waited", req.waited.String(), "cold", req.cold, "predicted", req.attempt.forecast.first.String(),
 		"ahead", req.attempt.forecast.ahead.String(), "first", req.first.String(), "took", r.now.Sub(req.arrived).String())...)
 }
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -282,6 +282,6 @@
 	doublings := max(0, min(b.failures-ejectAfter, 4))
 	period := min(ejectLongest, ejectFirst<<doublings)
 	b.ejectedUntil = r.now.Add(period)
-	r.log(Belief, "backend server left out", b.attrs(
+	r.log(StateChange, "backend server left out", b.attrs(
 		"failures", b.failures, "failure", failure.String(), "cause", cause, "for", period.String())...)
 }
--- a/internal/router/background.go
+++ b/internal/router/background.go
@@ -170,7 +170,7 @@
 func (r *Router) startBackground(s *service, b *backend, model fleet.Model, store bool) {
 	s.store.planned[grantKey{b.loader.name, model.Name}] = plannedLoad{since: r.now, until: r.now.Add(backgroundLife), store: store}
 	b.loader.dirty = true
-	r.log(Belief, "model is loaded ahead of demand", b.attrs("model", model.Name, "free_mb", r.holdings(b).FreeMB)...)
+	r.log(StateChange, "model is loaded ahead of demand", b.attrs("model", model.Name, "free_mb", r.holdings(b).FreeMB)...)
 }
 
 // plannedWants are the planned loads at an engine. One ends when the model is
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -71,7 +71,7 @@
 	}
 	r.callers.directory = next
 	if len(dropped) > 0 {
-		r.log(Belief, "keys of client accounts are no longer valid", slog.Int64("version", r.config.Version), slog.Int("keys", len(dropped)))
+		r.log(StateChange, "keys of client accounts are no longer valid", slog.Int64("version", r.config.Version), slog.Int("keys", len(dropped)))
 	}
 	r.judgeHeld(false)
 }
@@ -121,7 +121,7 @@
 func (r *Router) askStore() {
 	if r.now.Sub(r.callers.askedAt) >= confirmPause {
 		r.callers.askedAt = r.now
-		r.emit(LookIntoStore{})
+		r.emit(ReadStore{})
 	}
 }
 
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -154,7 +154,7 @@
 func TestNoLooksWhereTheStoreTurnsAway(t *testing.T) {
 	w := newAccountsWorld(t)
 	w.step(StoreState{Reachable: false})
-	w.step(NewsHeard{})
+	w.step(NewsReceived{})
 	w.wantCode(w.callWith("once", newKey), code.KeyUnsure)
 	if w.looks > 0 {
 		t.Errorf("%d looks", w.looks)
@@ -174,7 +174,7 @@
 func TestCallerLeavesWhileHeld(t *testing.T) {
 	w := newAccountsWorld(t)
 	key := w.callWith("once", newKey)
-	w.step(Gone{Key: key})
+	w.step(CallerLeft{Key: key})
 	w.step(ConfigRead{Config: accountsConfig(3, validKey, newKey)})
 	if _, ended := w.finishes[key]; ended || len(w.sends[key]) > 0 {
 		t.Errorf("a request whose caller left went on: %+v", w.finishes[key])
--- a/internal/router/choose_bench_test.go
+++ b/internal/router/choose_bench_test.go
@@ -17,7 +17,7 @@
 			w.servers(engineService, engines)
 			for i := range engines {
 				w.step(LoaderUp{Loader: loaderName(i)})
-				w.step(LoaderSaid{Loader: loaderName(i), Holdings: core.Holdings{
+				w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{
 					Models: loadedModels("m1"), Running: 6, Unread: 2, Routers: largeRouters, Coordinator: "10.0.0.9",
 				}})
 			}
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -22,7 +22,7 @@
 			running = 7 // least loaded, by the old word
 		}
 		w.step(LoaderUp{Loader: loaderName(i)})
-		w.step(LoaderSaid{Loader: loaderName(i), Holdings: core.Holdings{
+		w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{
 			Models: loadedModels("m1"), Running: running, Routers: 5, Coordinator: "10.0.0.9",
 		}})
 	}
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -27,9 +27,9 @@
 // router of a large fleet waits for who has read it to pass it on, before it reads itself.
 const spreadPart = 0.2
 
-// SpreadWait is how long a configuration that was heard of is left to be passed on; 0 where
+// ConfigRelayWait is how long a configuration that was heard of is left to be passed on; 0 where
 // each router reads for itself.
-func (r *Router) SpreadWait() time.Duration {
+func (r *Router) ConfigRelayWait() time.Duration {
 	if r.Parts() < 2 {
 		return 0
 	}
@@ -64,7 +64,7 @@
 	if !r.configUnread() || r.now < h.nextAsk {
 		return
 	}
-	if r.turnedAway == 0 && r.now.Sub(h.at) < r.SpreadWait()+askConfigAfter {
+	if r.turnedAway == 0 && r.now.Sub(h.at) < r.ConfigRelayWait()+askConfigAfter {
 		return
 	}
 	to := r.Relays(configLoaders)
@@ -72,7 +72,7 @@
 		return
 	}
 	h.nextAsk = r.now.Add(askConfigPause)
-	r.log(Belief, "configuration can't be read; asking other routers", slog.Int64("version", h.version),
+	r.log(StateChange, "configuration can't be read; asking other routers", slog.Int64("version", h.version),
 		slog.Int64("in_force", r.ConfigVersion()), slog.String("heard_ago", r.now.Sub(h.at).String()))
 	r.emit(AskConfig{Loaders: to, Wanted: core.ConfigWanted{Above: r.ConfigVersion()}})
 }
--- a/internal/router/config_test.go
+++ b/internal/router/config_test.go
@@ -16,7 +16,7 @@
 	w.servers(engineService, 3)
 	w.holds(0, core.Holdings{Instance: "s0"})
 	w.step(StoreState{Reachable: false})
-	w.step(ConfigHeard{Version: 3})
+	w.step(ConfigAnnounced{Version: 3})
 	if len(w.asked) != 1 || w.asked[0].Wanted.Above != 2 {
 		t.Fatalf("asked %+v, want once, above 2", w.asked)
 	}
@@ -38,7 +38,7 @@
 	w := newAccountsWorld(t)
 	w.servers(engineService, 3)
 	w.holds(0, core.Holdings{Instance: "s0"})
-	w.step(ConfigHeard{Version: 3})
+	w.step(ConfigAnnounced{Version: 3})
 	w.run(askConfigAfter / 2)
 	w.step(ConfigRead{Config: accountsConfig(3, validKey)})
 	w.run(time.Second)
@@ -54,7 +54,7 @@
 	w := newAccountsWorld(t)
 	w.servers(plainService, 2)
 	w.step(StoreState{Reachable: false})
-	w.step(ConfigHeard{Version: 3})
+	w.step(ConfigAnnounced{Version: 3})
 	served, unsure := w.callWith("once", newKey), w.callWith("once", "wrong")
 	w.step(ConfigRead{Config: accountsConfig(3, validKey, newKey)})
 	w.run(tickInterval)
@@ -69,11 +69,11 @@
 		w := newWorld(t)
 		w.servers(engineService, 1)
 		w.step(LoaderUp{Loader: loaderName(0)})
-		w.step(LoaderSaid{Loader: loaderName(0), Holdings: core.Holdings{Routers: routers}})
-		if got := w.router.SpreadWait(); got != want {
+		w.step(LoaderReported{Loader: loaderName(0), Holdings: core.Holdings{Routers: routers}})
+		if got := w.router.ConfigRelayWait(); got != want {
 			t.Errorf("%d routers wait %v, want %v", routers, got, want)
 		}
-		w.step(ConfigHeard{Version: 5})
+		w.step(ConfigAnnounced{Version: 5})
 		w.run(askConfigAfter + want - tickInterval)
 		if len(w.asked) > 0 {
 			t.Errorf("%d routers: asked while it is on its way", routers)
--- a/internal/router/coordinate.go
+++ b/internal/router/coordinate.go
@@ -101,7 +101,7 @@
 	}
 	s.store.peak = active
 	if s.store.limit != limit {
-		r.log(Belief, "weight store measured", slog.String("service", b.Service), slog.Int("limit", s.store.limit),
+		r.log(StateChange, "weight store measured", slog.String("service", b.Service), slog.Int("limit", s.store.limit),
 			slog.Float64("ratio", ratio), slog.Int("at_once", peak), slog.String("loader", string(l.name)))
 	}
 }
@@ -247,7 +247,7 @@
 		active++
 		s.store.granted[grantKey{p.loader.name, p.model.Name}] = r.now.Add(permitLife)
 		p.loader.dirty = true
-		r.log(Belief, "store load may begin", slog.String("model", p.model.Name), slog.String("loader", string(p.loader.name)),
+		r.log(StateChange, "store load may begin", slog.String("model", p.model.Name), slog.String("loader", string(p.loader.name)),
 			slog.Int("waiting", p.model.Waiting), slog.Int("active", active), slog.Int("limit", s.storeLimit()))
 	}
 }
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -61,7 +61,7 @@
 		l.expectedSince = r.now
 	}
 	l.dirty, l.toldAt, l.told = false, r.now, demand
-	r.emit(Tell{Loader: l.name, Demand: demand})
+	r.emit(SendDemand{Loader: l.name, Demand: demand})
 }
 
 // sameDemand tells whether a loader that was told a Demand some time ago need not
--- a/internal/router/demand_test.go
+++ b/internal/router/demand_test.go
@@ -89,10 +89,10 @@
 		w.servers(engineService, 1)
 		held := core.Holdings{Models: loadedModels("m0", "m1", "m2"), Routers: 2, Coordinator: coordinator}
 		w.step(LoaderUp{Loader: loaderName(0)})
-		w.step(LoaderSaid{Loader: loaderName(0), Holdings: held})
+		w.step(LoaderReported{Loader: loaderName(0), Holdings: held})
 		w.call("quick", prompt("m1"))
 		for range 20 {
-			w.step(LoaderSaid{Loader: loaderName(0), Holdings: held})
+			w.step(LoaderReported{Loader: loaderName(0), Holdings: held})
 			w.run(tickInterval)
 		}
 		uses := w.demands[loaderName(0)].Uses
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -86,7 +86,7 @@
 	for i := range digest.Parts {
 		if len(relays) > 0 {
 			digest.Part = i
-			r.emit(TellDigest{Loader: relays[i%len(relays)], Digest: digest})
+			r.emit(RelayDigest{Loader: relays[i%len(relays)], Digest: digest})
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		d.heardAt = r.now // none are due
 	default:
 		d.direct = late
-		r.log(Belief, "digests of loads", slog.Bool("come", !late), slog.String("last", r.now.Sub(d.heardAt).String()))
+		r.log(StateChange, "digests of loads", slog.Bool("come", !late), slog.String("last", r.now.Sub(d.heardAt).String()))
 	}
 }
 
--- a/internal/router/digest_test.go
+++ b/internal/router/digest_test.go
@@ -73,9 +73,9 @@
 			f.dials++
 			f.send(name, e.Loader, connected{})
 			f.send(e.Loader, name, connected{})
-		case Tell:
+		case SendDemand:
 			f.send(name, e.Loader, e.Demand)
-		case TellDigest:
+		case RelayDigest:
 			f.send(name, e.Loader, e.Digest)
 		}
 	}
@@ -133,13 +133,13 @@
 	case connected:
 		f.router(d.to, LoaderUp{Loader: d.from})
 	case core.Holdings:
-		f.router(d.to, LoaderSaid{Loader: d.from, Holdings: m})
+		f.router(d.to, LoaderReported{Loader: d.from, Holdings: m})
 	case core.Counts:
-		f.router(d.to, LoaderCounted{Loader: d.from, Counts: m})
+		f.router(d.to, LoaderCountsReported{Loader: d.from, Counts: m})
 	case core.SpecWanted:
-		f.router(d.to, LoaderWantsSpec{Loader: d.from})
+		f.router(d.to, LoaderSpecRequested{Loader: d.from})
 	case core.LoadDigest:
-		f.router(d.to, DigestHeard{Digest: m})
+		f.router(d.to, DigestReceived{Digest: m})
 	}
 }
 
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -12,7 +12,7 @@
 type Effect interface{ effect() }
 
 // Send sends a request to a backend server, from the event on that was passed
-// on last. AttemptFailed, Answered or Gone follows.
+// on last. AttemptFailed, Answered or CallerLeft follows.
 type Send struct {
 	Key     Key
 	Attempt int
@@ -69,8 +69,8 @@
 	Hangup struct{ Loader core.HostID }
 )
 
-// Tell sends a message to a loader.
-type Tell struct {
+// SendDemand sends a message to a loader.
+type SendDemand struct {
 	Loader core.HostID
 	Demand core.Demand
 }
@@ -84,10 +84,10 @@
 // The subjects. When lines come faster than they are written, those about
 // single requests are dropped first.
 const (
-	// Belief lines tell of a change of what the router believes.
-	Belief Subject = iota
-	// OneRequest lines tell of a decision on a request.
-	OneRequest
+	// StateChange lines tell of a change of what the router believes.
+	StateChange Subject = iota
+	// SingleRequest lines tell of a decision on a request.
+	SingleRequest
 )
 
 // Log is a line for operators.
@@ -103,14 +103,14 @@
 	Observe struct{ core.Observe }
 )
 
-// TellRouters has loaders pass news of poison requests on to all other routers.
-type TellRouters struct {
+// RelayPoison has loaders pass news of poison requests on to all other routers.
+type RelayPoison struct {
 	Via  []core.HostID
 	News core.PoisonNews
 }
 
-// TellDigest has a loader pass a digest on to a part of the other routers.
-type TellDigest struct {
+// RelayDigest has a loader pass a digest on to a part of the other routers.
+type RelayDigest struct {
 	Loader core.HostID
 	Digest core.LoadDigest
 }
@@ -122,14 +122,14 @@
 	Wanted  core.ConfigWanted
 }
 
-// AskQuota asks a loader for tokens of client accounts. LoaderToldQuota follows.
+// AskQuota asks a loader for tokens of client accounts. LoaderAnsweredQuota follows.
 type AskQuota struct {
 	Loader core.HostID
 	Ask    core.QuotaAsk
 }
 
 // AskLimit tells the loader that counts what is known of a server's limit, and asks it for a
-// permit. LoaderLimited follows if it was asked.
+// permit. LoaderAnsweredLimit follows if it was asked.
 type AskLimit struct {
 	Loader core.HostID
 	Ask    core.LimitAsk
@@ -142,26 +142,26 @@
 	News core.PoisonNews
 }
 
-// LookIntoStore asks for a read of the platform's store soon. ConfigConfirmed follows, or
+// ReadStore asks for a read of the platform's store soon. ConfigConfirmed follows, or
 // StoreState.
-type LookIntoStore struct{}
-
-func (LookIntoStore) effect() {}
-func (AskConfig) effect()     {}
-func (AskQuota) effect()      {}
-func (AskLimit) effect()      {}
-func (TellRouters) effect()   {}
-func (TellDigest) effect()    {}
-func (Publish) effect()       {}
-func (Send) effect()          {}
-func (Forward) effect()       {}
-func (Finish) effect()        {}
-func (Abandon) effect()       {}
-func (Reconnect) effect()     {}
-func (Dial) effect()          {}
-func (Hangup) effect()        {}
-func (Tell) effect()          {}
-func (Wake) effect()          {}
-func (Log) effect()           {}
-func (Count) effect()         {}
-func (Observe) effect()       {}
+type ReadStore struct{}
+
+func (ReadStore) effect()   {}
+func (AskConfig) effect()   {}
+func (AskQuota) effect()    {}
+func (AskLimit) effect()    {}
+func (RelayPoison) effect() {}
+func (RelayDigest) effect() {}
+func (Publish) effect()     {}
+func (Send) effect()        {}
+func (Forward) effect()     {}
+func (Finish) effect()      {}
+func (Abandon) effect()     {}
+func (Reconnect) effect()   {}
+func (Dial) effect()        {}
+func (Hangup) effect()      {}
+func (SendDemand) effect()  {}
+func (Wake) effect()        {}
+func (Log) effect()         {}
+func (Count) effect()       {}
+func (Observe) effect()     {}
--- a/internal/router/ending.go
+++ b/internal/router/ending.go
@@ -32,7 +32,7 @@
 	r.leaveQuota(req)
 	delete(r.requests, key)
 	r.emit(Count{core.Count{Name: metricRequests, Labels: []string{req.service, code.Cancelled.String()}, Add: 1}})
-	r.log(OneRequest, "caller left", attrs...)
+	r.log(SingleRequest, "caller left", attrs...)
 }
 
 // leftAttrs tell why a caller may have left: where its request was, for how long,
@@ -76,7 +76,7 @@
 	delete(r.requests, req.key)
 	r.emit(Finish{Key: req.key, Code: c, RetryAfter: retryAfter, Reason: reason})
 	r.emit(Count{core.Count{Name: metricRequests, Labels: []string{req.service, c.String()}, Add: 1}})
-	r.log(OneRequest, "request ended without a server's answer", req.attrs("code", int(c), "name", c.String(),
+	r.log(SingleRequest, "request ended without a server's answer", req.attrs("code", int(c), "name", c.String(),
 		"reason", reason, "retry_after", retryAfter.String(), "took", r.now.Sub(req.arrived).String())...)
 }
 
@@ -183,7 +183,7 @@
 	r.emit(Abandon{Key: req.key, Attempt: req.number})
 	r.release(req)
 	r.failed(b, NoAnswer, "no answer in time")
-	r.log(OneRequest, "no answer in time; trying another server", req.attrs("instance", b.Instance,
+	r.log(SingleRequest, "no answer in time; trying another server", req.attrs("instance", b.Instance,
 		"waited", r.now.Sub(req.attempt.at).String(), "predicted", req.attempt.forecast.first.String(),
 		"ahead", req.attempt.forecast.ahead.String())...)
 	req.arrivals++
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -19,8 +19,8 @@
 // ConfigRead is a configuration read from the platform's store.
 type ConfigRead struct{ Config *fleet.Config }
 
-// ConfigHeard tells that another router has a configuration of a version.
-type ConfigHeard struct{ Version int64 }
+// ConfigAnnounced tells that another router has a configuration of a version.
+type ConfigAnnounced struct{ Version int64 }
 
 // ConfigConfirmed tells that the configuration in force was the newest in the platform's
 // store at a time: a read that began then has found no other.
@@ -29,8 +29,8 @@
 // BackendsRead is the whole registry of backend servers.
 type BackendsRead struct{ Backends map[string]fleet.Backend }
 
-// StoreWentBack tells that the platform's store came back from a copy of some seconds ago.
-type StoreWentBack struct{ To core.StorePosition }
+// StoreRestored tells that the platform's store came back from a copy of some seconds ago.
+type StoreRestored struct{ To core.StorePosition }
 
 // BackendsRestored is the whole registry as that copy has it: it lacks what servers wrote
 // last, and has what they have taken back since.
@@ -55,35 +55,35 @@
 	LoaderDown struct{ Loader core.HostID }
 )
 
-// LoaderSaid is a message from a loader.
-type LoaderSaid struct {
+// LoaderReported is a message from a loader.
+type LoaderReported struct {
 	Loader   core.HostID
 	Holdings core.Holdings
 }
 
-// LoaderCounted is a loader's word on its engine's counts alone.
-type LoaderCounted struct {
+// LoaderCountsReported is a loader's word on its engine's counts alone.
+type LoaderCountsReported struct {
 	Loader core.HostID
 	Counts core.Counts
 }
 
-// DigestHeard is the coordinator's word on the loads of all engines.
-type DigestHeard struct{ Digest core.LoadDigest }
+// DigestReceived is the coordinator's word on the loads of all engines.
+type DigestReceived struct{ Digest core.LoadDigest }
 
-// LoaderWantsSpec is a loader's question for its engine's configuration.
-type LoaderWantsSpec struct{ Loader core.HostID }
+// LoaderSpecRequested is a loader's question for its engine's configuration.
+type LoaderSpecRequested struct{ Loader core.HostID }
 
-// LoaderToldQuota is a loader's answer to a question for tokens of client accounts.
-type LoaderToldQuota struct {
+// LoaderAnsweredQuota is a loader's answer to a question for tokens of client accounts.
+type LoaderAnsweredQuota struct {
 	Loader core.HostID
-	Told   core.QuotaTold
+	Answer core.QuotaTold
 }
 
-// LoaderLimited is the word of the loader that counts what is sent to a server with a
+// LoaderAnsweredLimit is the word of the loader that counts what is sent to a server with a
 // limit.
-type LoaderLimited struct {
+type LoaderAnsweredLimit struct {
 	Loader core.HostID
-	Told   core.LimitTold
+	Answer core.LimitTold
 }
 
 // Arrived is a new request. Its body has been read.
@@ -105,9 +105,9 @@
 	BadAnswer
 	// Broken: the answer broke off.
 	Broken
-	// ConnsUsed: this router's share of the connections to the server is in use.
+	// ConnsExhausted: this router's share of the connections to the server is in use.
 	// Nothing was sent, and the server has done nothing wrong.
-	ConnsUsed
+	ConnsExhausted
 )
 
 // String names the failure for logs.
@@ -115,9 +115,9 @@
 	return [...]string{"not sent", "no answer", "bad answer", "broken off", "connections used"}[f]
 }
 
-// Lagged tells how long work of the process waited for the processor lately, at
+// CPUWaitMeasured tells how long work of the process waited for the processor lately, at
 // the ninth decile.
-type Lagged struct{ Wait time.Duration }
+type CPUWaitMeasured struct{ Wait time.Duration }
 
 // Peer is what the end of a connection shows of the server's process.
 type Peer uint8
@@ -171,45 +171,45 @@
 	Pause  time.Duration
 }
 
-// Gone ends a request whose caller left.
-type Gone struct{ Key Key }
+// CallerLeft ends a request whose caller left.
+type CallerLeft struct{ Key Key }
 
-// NewsHeard is what another router read of the registry.
-type NewsHeard struct{ News core.RegistryNews }
+// NewsReceived is what another router read of the registry.
+type NewsReceived struct{ News core.RegistryNews }
 
-// PoisonHeard is what another router, a loader or the platform's store tells of servers
+// PoisonReported is what another router, a loader or the platform's store tells of servers
 // that ended under requests.
-type PoisonHeard struct{ News core.PoisonNews }
-
-// Lift is an operator's word that a request is to be sent to servers again.
-type Lift struct{ Fingerprint core.Fingerprint }
-
-func (ConfigHeard) event()      {}
-func (DigestHeard) event()      {}
-func (ConfigConfirmed) event()  {}
-func (PoisonHeard) event()      {}
-func (Lift) event()             {}
-func (NewsHeard) event()        {}
-func (StoreWentBack) event()    {}
-func (BackendsRestored) event() {}
-func (Tick) event()             {}
-func (ConfigRead) event()       {}
-func (BackendsRead) event()     {}
-func (BackendsChanged) event()  {}
-func (StoreState) event()       {}
-func (Stopping) event()         {}
-func (LoaderUp) event()         {}
-func (LoaderDown) event()       {}
-func (LoaderSaid) event()       {}
-func (LoaderCounted) event()    {}
-func (LoaderWantsSpec) event()  {}
-func (LoaderToldQuota) event()  {}
-func (LoaderLimited) event()    {}
-func (Arrived) event()          {}
-func (AttemptFailed) event()    {}
-func (Stalled) event()          {}
-func (Answered) event()         {}
-func (FirstEvent) event()       {}
-func (Done) event()             {}
-func (Gone) event()             {}
-func (Lagged) event()           {}
+type PoisonReported struct{ News core.PoisonNews }
+
+// LiftPoison is an operator's word that a request is to be sent to servers again.
+type LiftPoison struct{ Fingerprint core.Fingerprint }
+
+func (ConfigAnnounced) event()      {}
+func (DigestReceived) event()       {}
+func (ConfigConfirmed) event()      {}
+func (PoisonReported) event()       {}
+func (LiftPoison) event()           {}
+func (NewsReceived) event()         {}
+func (StoreRestored) event()        {}
+func (BackendsRestored) event()     {}
+func (Tick) event()                 {}
+func (ConfigRead) event()           {}
+func (BackendsRead) event()         {}
+func (BackendsChanged) event()      {}
+func (StoreState) event()           {}
+func (Stopping) event()             {}
+func (LoaderUp) event()             {}
+func (LoaderDown) event()           {}
+func (LoaderReported) event()       {}
+func (LoaderCountsReported) event() {}
+func (LoaderSpecRequested) event()  {}
+func (LoaderAnsweredQuota) event()  {}
+func (LoaderAnsweredLimit) event()  {}
+func (Arrived) event()              {}
+func (AttemptFailed) event()        {}
+func (Stalled) event()              {}
+func (Answered) event()             {}
+func (FirstEvent) event()           {}
+func (Done) event()                 {}
+func (CallerLeft) event()           {}
+func (CPUWaitMeasured) event()      {}
--- a/internal/router/forecast_test.go
+++ b/internal/router/forecast_test.go
@@ -132,7 +132,7 @@
 	hold := func() {
 		for i := range 2 {
 			w.step(LoaderUp{Loader: loaderName(i)})
-			w.step(LoaderSaid{Loader: loaderName(i), Holdings: core.Holdings{Models: loadedModels("m1"), Routers: 68, Coordinator: "10.0.0.1"}})
+			w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{Models: loadedModels("m1"), Routers: 68, Coordinator: "10.0.0.1"}})
 		}
 	}
 	hold()
--- a/internal/router/large_bench_test.go
+++ b/internal/router/large_bench_test.go
@@ -62,7 +62,7 @@
 	if l := w.router.loaders[loaderName(i)]; l == nil || !l.up {
 		w.step(LoaderUp{Loader: loaderName(i)})
 	}
-	w.step(LoaderSaid{Loader: loaderName(i), Holdings: core.Holdings{
+	w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{
 		Routers: largeRouters, Coordinator: "10.0.0.0", Running: 6, FreeMB: 1000,
 		Models: loadedModels(fmt.Sprintf("m%d", i%busy), fmt.Sprintf("m%d", (i+1)%busy), fmt.Sprintf("m%d", (i+2)%busy)),
 		OnDisk: onDisk, InMemory: onDisk[:4],
@@ -123,10 +123,10 @@
 		for i := range int(time.Second / tickInterval) {
 			w.now = w.now.Add(tickInterval)
 			if i%5 == 0 {
-				w.step(DigestHeard{Digest: digest})
+				w.step(DigestReceived{Digest: digest})
 			}
 			for j := range engines / changesShare / 20 {
-				w.step(LoaderSaid{Loader: loaderName(i * j % engines), Holdings: *w.router.loaders[loaderName(i*j%engines)].holdings})
+				w.step(LoaderReported{Loader: loaderName(i * j % engines), Holdings: *w.router.loaders[loaderName(i*j%engines)].holdings})
 			}
 			if i%10 == 0 {
 				key := w.call("quick", prompt(fmt.Sprintf("m%d", i%mostBusy)))
--- a/internal/router/loaders.go
+++ b/internal/router/loaders.go
@@ -143,7 +143,7 @@
 	// hold what it held minutes ago, and wants would reach nobody. Its
 	// heartbeats stop, so it is dialled anew.
 	if silent := r.now.Sub(max(l.directAt, r.awaitedSince(l))); l.up && silent > holdingsFresh {
-		r.log(Belief, "loader is silent; dialling it again", slog.String("loader", string(l.name)),
+		r.log(StateChange, "loader is silent; dialling it again", slog.String("loader", string(l.name)),
 			slog.String("silent", silent.String()))
 		r.emit(Hangup{Loader: l.name})
 		l.up, l.dialing = false, false
@@ -163,7 +163,7 @@
 	}
 	l.up, l.dialing, l.specNamed, l.specWanted, l.dirty, l.heardAt, l.directAt = true, false, 0, false, true, r.now, r.now
 	l.told = core.Demand{}
-	r.log(Belief, "loader connected", slog.String("loader", string(name)))
+	r.log(StateChange, "loader connected", slog.String("loader", string(name)))
 	r.tellLimits(l)
 }
 
@@ -174,7 +174,7 @@
 	}
 	r.gate.Lost(name)
 	if l.up {
-		r.log(Belief, "loader lost", slog.String("loader", string(name)))
+		r.log(StateChange, "loader lost", slog.String("loader", string(name)))
 	}
 	l.up, l.dialing, l.nextDial = false, false, r.now.Add(redialAfter)
 }
@@ -185,7 +185,7 @@
 		return
 	}
 	if (fleet.Incarnation{Born: holdings.Born}).Compare(l.life()) < 0 {
-		r.log(Belief, "word on an earlier life of an engine left out", slog.String("loader", string(name)), slog.Int64("born", holdings.Born))
+		r.log(StateChange, "word on an earlier life of an engine left out", slog.String("loader", string(name)), slog.Int64("born", holdings.Born))
 		return
 	}
 	if holdings.NearAsBefore && l.holdings != nil {
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -67,9 +67,9 @@
 	r.poisonHeard(news.Poison)
 }
 
-// NewsOf returns those of the entries that say other than what is known, without
+// ChangedEntries returns those of the entries that say other than what is known, without
 // their models: what the other routers have to know.
-func (r *Router) NewsOf(written map[string]fleet.Backend) []core.ListedBackend {
+func (r *Router) ChangedEntries(written map[string]fleet.Backend) []core.ListedBackend {
 	var news []core.ListedBackend
 	for _, entry := range byRegistration(written) {
 		b := r.backends[entry.Instance]
@@ -104,14 +104,14 @@
 		r.setAddress(b, entry.Address)
 		b.Backend = entry
 		r.replaceInstances(b)
-		r.log(Belief, "backend server found", b.attrs("slots", entry.Slots, "draining", entry.Draining)...)
+		r.log(StateChange, "backend server found", b.attrs("slots", entry.Slots, "draining", entry.Draining)...)
 	} else if !r.newLife(b, entry.Incarnation) {
 		return
 	} else if entry.Draining != b.Draining {
-		r.log(Belief, "backend server changed state", b.attrs("draining", entry.Draining)...)
+		r.log(StateChange, "backend server changed state", b.attrs("draining", entry.Draining)...)
 	}
 	if b.unlistedAt != 0 {
-		r.log(Belief, "backend server is back in the registry", b.attrs("after", r.now.Sub(b.unlistedAt).String())...)
+		r.log(StateChange, "backend server is back in the registry", b.attrs("after", r.now.Sub(b.unlistedAt).String())...)
 	}
 	if entry.Service != b.Service {
 		r.byService = nil
@@ -183,7 +183,7 @@
 	}
 	if r.mayRelist() && !r.draining(b) {
 		b.lapsed = true
-		r.log(Belief, "registry entry lapsed while the store was away; kept for now", b.attrs()...)
+		r.log(StateChange, "registry entry lapsed while the store was away; kept for now", b.attrs()...)
 		return
 	}
 	r.unlist(b, "removed from the registry")
@@ -198,7 +198,7 @@
 	if b.replaced || len(b.lost) > 0 {
 		r.serverEnded(b, why)
 	}
-	r.log(Belief, "backend server is gone", b.attrs("why", why, "requests", len(b.sent))...)
+	r.log(StateChange, "backend server is gone", b.attrs("why", why, "requests", len(b.sent))...)
 }
 
 // dropUnlisted forgets servers that left, once nothing runs there.
@@ -228,7 +228,7 @@
 	switch {
 	case r.storeDown == 0:
 	case gap < lapseGap:
-		r.log(Belief, "platform store answers other routers", slog.String("away", r.now.Sub(r.storeDown).String()))
+		r.log(StateChange, "platform store answers other routers", slog.String("away", r.now.Sub(r.storeDown).String()))
 		r.storeDown = 0
 	default:
 		r.setStore(true)
@@ -254,10 +254,10 @@
 	switch {
 	case !reachable && r.storeDown == 0:
 		r.storeDown = r.now
-		r.log(Belief, "platform store does not answer; working from what is known",
+		r.log(StateChange, "platform store does not answer; working from what is known",
 			slog.Int("backends", len(r.backends)))
 	case reachable && r.storeDown != 0:
-		r.log(Belief, "platform store answers again", slog.String("away", r.now.Sub(r.storeDown).String()))
+		r.log(StateChange, "platform store answers again", slog.String("away", r.now.Sub(r.storeDown).String()))
 		r.storeDown, r.storeBack = 0, r.now
 	}
 }
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -18,7 +18,7 @@
 	leaving.Draining = true
 	engine := w.born(7, firstBorn, "m1")
 	w.lists(engine)
-	w.step(NewsHeard{News: core.RegistryNews{
+	w.step(NewsReceived{News: core.RegistryNews{
 		From: 1, To: 2, Written: []core.ListedBackend{leaving.Listed(), engine.Listed()}, Removed: []string{"s1"},
 	}})
 	for range 6 {
@@ -39,7 +39,7 @@
 	same, slow := w.server(plainService, 0), w.server(plainService, 1)
 	same.Models = []fleet.LoadedModel{{Name: "m5"}}
 	slow.Slots++
-	news := w.router.NewsOf(map[string]fleet.Backend{"s0": same, "s1": slow, "s2": w.server(plainService, 2)})
+	news := w.router.ChangedEntries(map[string]fleet.Backend{"s0": same, "s1": slow, "s2": w.server(plainService, 2)})
 	if len(news) != 2 || news[0].Instance != "s1" || news[1].Instance != "s2" {
 		t.Errorf("told %+v, want s1 and s2", news)
 	}
@@ -51,7 +51,7 @@
 	w := newWorld(t)
 	w.servers(plainService, 2)
 	w.step(StoreState{Reachable: false})
-	w.step(NewsHeard{News: core.RegistryNews{From: 1, To: 2, Removed: []string{"s0", "s1"}}})
+	w.step(NewsReceived{News: core.RegistryNews{From: 1, To: 2, Removed: []string{"s0", "s1"}}})
 	w.lastSend(w.call("once", nil))
 }
 
@@ -66,11 +66,11 @@
 	w.step(StoreState{Reachable: false})
 	for revision := range int64(8) {
 		w.run(500 * time.Millisecond)
-		w.step(NewsHeard{News: core.RegistryNews{From: revision, To: revision + 1}})
+		w.step(NewsReceived{News: core.RegistryNews{From: revision, To: revision + 1}})
 	}
 	w.step(StoreState{Reachable: false})
 	w.run(500 * time.Millisecond)
-	w.step(NewsHeard{News: core.RegistryNews{From: 8, To: 9, Removed: []string{"s1"}}})
+	w.step(NewsReceived{News: core.RegistryNews{From: 8, To: 9, Removed: []string{"s1"}}})
 	for range 4 {
 		if send := w.lastSend(w.call("once", nil)); send.Instance != "s0" {
 			t.Fatalf("sent to %s, whose entry is gone", send.Instance)
@@ -87,7 +87,7 @@
 	w.holds(0, core.Holdings{FreeMB: 10_000, Models: loadedModels("m1")})
 	for range 10 {
 		w.run(time.Second)
-		w.step(LoaderCounted{Loader: loaderName(0), Counts: core.Counts{Running: 1, FreeMB: 20_000, IdleMB: 30_000}})
+		w.step(LoaderCountsReported{Loader: loaderName(0), Counts: core.Counts{Running: 1, FreeMB: 20_000, IdleMB: 30_000}})
 	}
 	w.lastSend(w.call("patient", prompt("m1")))
 	l := w.router.loaders[loaderName(0)]
--- a/internal/router/permit.go
+++ b/internal/router/permit.go
@@ -90,14 +90,14 @@
 	req.asking = nil
 	b.limit.gate.Unanswered(r.now)
 	r.countPermit(b, "unanswered")
-	r.log(OneRequest, "loader did not answer for a server's limit", req.attrs("instance", b.Instance)...)
+	r.log(SingleRequest, "loader did not answer for a server's limit", req.attrs("instance", b.Instance)...)
 	r.dispatch(req)
 }
 
 // noRoom finds another way for a request for which a server has no room.
 func (r *Router) noRoom(req *request, b *backend, by string) {
 	perSecond, _ := b.limit.gate.Limit()
-	r.log(OneRequest, "backend server has no room for the request", req.attrs("instance", b.Instance, "per_second", perSecond,
+	r.log(SingleRequest, "backend server has no room for the request", req.attrs("instance", b.Instance, "per_second", perSecond,
 		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "refused_by", by,
 		"room_in", b.limit.gate.RoomIn(r.now, true).String())...)
 	r.dispatch(req)
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -32,7 +32,7 @@
 // does, under a name that no other news has.
 func (r *Router) tellOthers(name string, news core.PoisonNews) {
 	if to := r.Relays(poisonRelays); len(to) > 0 {
-		r.emit(TellRouters{Via: to, News: news})
+		r.emit(RelayPoison{Via: to, News: news})
 		return
 	}
 	r.emit(Publish{Name: name, News: news})
@@ -56,7 +56,7 @@
 func (r *Router) keepFromServers(found []core.Fingerprint) {
 	for _, f := range found {
 		r.emit(Count{core.Count{Name: metricPoison, Add: 1}})
-		r.log(Belief, "request is kept from servers, as they end under it", r.evidenceAttrs(f)...)
+		r.log(StateChange, "request is kept from servers, as they end under it", r.evidenceAttrs(f)...)
 		if r.ledger.Own(f) {
 			r.publish(f)
 		}
@@ -87,7 +87,7 @@
 func (r *Router) refusePoison(req *request) {
 	f := req.fingerprint
 	r.ledger.Seen(r.now, f)
-	r.log(OneRequest, "request not sent, as servers ended under it", slices.Concat(req.attrs(), r.evidenceAttrs(f))...)
+	r.log(SingleRequest, "request not sent, as servers ended under it", slices.Concat(req.attrs(), r.evidenceAttrs(f))...)
 	if at, ok := r.published[f]; !ok {
 		r.published[f] = r.now
 	} else if r.now.Sub(at) > poison.Keep/2 {
@@ -141,7 +141,7 @@
 // clear takes back what is held against a request, here and at the other routers. What
 // the store has against it is replaced.
 func (r *Router) clear(f core.Fingerprint, why string) {
-	r.log(Belief, "request is well", append(r.evidenceAttrs(f), slog.String("why", why))...)
+	r.log(StateChange, "request is well", append(r.evidenceAttrs(f), slog.String("why", why))...)
 	news := core.PoisonNews{Cleared: []core.Fingerprint{f}}
 	if r.ledger.Poison(f) {
 		r.emit(Publish{Name: f.String(), News: news})
--- a/internal/router/poison_test.go
+++ b/internal/router/poison_test.go
@@ -26,7 +26,7 @@
 	w.t.Helper()
 	for name, l := range w.router.loaders {
 		if b := w.router.engineAt(l); b != nil && b.Instance == engine {
-			w.step(LoaderSaid{Loader: name, Holdings: core.Holdings{Instance: engine, Ended: true, Routers: 1}})
+			w.step(LoaderReported{Loader: name, Holdings: core.Holdings{Instance: engine, Ended: true, Routers: 1}})
 			return
 		}
 	}
@@ -96,7 +96,7 @@
 func passOn(fleet []*world, from *world, news core.PoisonNews) {
 	for _, w := range fleet {
 		if w != from {
-			w.step(PoisonHeard{News: news})
+			w.step(PoisonReported{News: news})
 		}
 	}
 }
@@ -104,7 +104,7 @@
 // makePoison lets a router hear that three servers ended under the request.
 func (w *world) makePoison() {
 	w.t.Helper()
-	w.step(PoisonHeard{News: core.PoisonNews{Ends: poisonEnds()}})
+	w.step(PoisonReported{News: core.PoisonNews{Ends: poisonEnds()}})
 }
 
 func poisonEnds() []core.ServerEnd {
@@ -167,7 +167,7 @@
 func TestRequestThatProvesItselfPoisonEndsOnce(t *testing.T) {
 	for route, want := range map[string]code.Code{"quick": code.OutcomeUnknown, "patient": code.PoisonRequest} {
 		w := engines(t, 4)
-		w.step(PoisonHeard{News: core.PoisonNews{Ends: poisonEnds()[:2]}})
+		w.step(PoisonReported{News: core.PoisonNews{Ends: poisonEnds()[:2]}})
 		key := w.callAs(poisonWork, route, prompt("m1"))
 		engine := w.lastSend(key).Instance
 		w.loaderFindsGone(engine)
@@ -217,7 +217,7 @@
 		Life: core.ServerLife{Instance: w.lastSend(key).Instance}, Service: plainService,
 		Requests: []core.LostRequest{{Fingerprint: 9}},
 	}
-	w.step(PoisonHeard{News: core.PoisonNews{Ends: []core.ServerEnd{end}}})
+	w.step(PoisonReported{News: core.PoisonNews{Ends: []core.ServerEnd{end}}})
 	if n := w.router.ledger.Ends(poisonWork); n != 1 {
 		t.Errorf("%d servers ended under it, want 1", n)
 	}
@@ -246,7 +246,7 @@
 // replaced, so that no router learns it again.
 func TestEvidenceIsKeptAndLifted(t *testing.T) {
 	w := engines(t, 4)
-	w.step(PoisonHeard{News: core.PoisonNews{Ends: poisonEnds()[:2]}})
+	w.step(PoisonReported{News: core.PoisonNews{Ends: poisonEnds()[:2]}})
 	w.crashUnder(w.callAs(poisonWork, "quick", prompt("m1")))
 	if len(w.published) != 1 || len(w.published[0].News.Ends) != 3 {
 		t.Fatalf("published %+v", w.published)
@@ -261,7 +261,7 @@
 		w.holds(i, core.Holdings{Instance: fmt.Sprintf("s%d", i), Models: loadedModels("m1"), FreeMB: 40_000})
 	}
 	w.told = nil
-	w.step(Lift{Fingerprint: poisonWork})
+	w.step(LiftPoison{Fingerprint: poisonWork})
 	w.lastSend(w.callAs(poisonWork, "quick", prompt("m1")))
 	last := w.published[len(w.published)-1]
 	if last.Name != w.published[0].Name || len(last.News.Cleared) != 1 || len(w.told) != 1 || len(w.told[0].News.Cleared) != 1 {
@@ -284,6 +284,6 @@
 // A router starts and hears from the store, with the registry's news, what others know.
 func TestNewsOfTheRegistryBringEvidence(t *testing.T) {
 	w := engines(t, 2)
-	w.step(NewsHeard{News: core.RegistryNews{From: 1, To: 2, Poison: core.PoisonNews{Ends: poisonEnds()}}})
+	w.step(NewsReceived{News: core.RegistryNews{From: 1, To: 2, Poison: core.PoisonNews{Ends: poisonEnds()}}})
 	w.wantRefused(w.callAs(poisonWork, "quick", prompt("m1")))
 }
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -107,7 +107,7 @@
 // logWait tells of a request that waited for longer than a question to a loader takes.
 func (r *Router) logWait(req *request, d quota.Decision) {
 	if waited := r.now.Sub(req.arrived); waited >= notedWait {
-		r.log(OneRequest, "request waited for its account's room", req.attrs("waited", waited.String(), "admitted", d.Outcome == quota.Admitted,
+		r.log(SingleRequest, "request waited for its account's room", req.attrs("waited", waited.String(), "admitted", d.Outcome == quota.Admitted,
 			"hold", d.Hold, "own_share", d.Share)...)
 	}
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -40,7 +40,7 @@
 	asks := w.quotaAsks
 	w.quotaAsks = nil
 	for _, ask := range asks {
-		w.step(LoaderToldQuota{Loader: ask.Loader, Told: *w.keeper.Ask(w.now, "10.0.0.1", ask.Ask)})
+		w.step(LoaderAnsweredQuota{Loader: ask.Loader, Answer: *w.keeper.Ask(w.now, "10.0.0.1", ask.Ask)})
 	}
 }
 
@@ -60,7 +60,7 @@
 func TestCallerWhoLeavesWhileItWaitsForRoomIsForgotten(t *testing.T) {
 	w := newQuotaWorld(t)
 	key := w.callWith("again", validKey)
-	w.step(Gone{Key: key})
+	w.step(CallerLeft{Key: key})
 	w.answer()
 	if len(w.sends[key]) > 0 || len(w.router.requests) > 0 {
 		t.Errorf("%d sends, %d requests left", len(w.sends[key]), len(w.router.requests))
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -255,7 +255,7 @@
 	r.emit(send)
 	r.countLimited(b)
 	if req.number > 1 {
-		r.log(OneRequest, "request sent again", req.attrs("instance", b.Instance,
+		r.log(SingleRequest, "request sent again", req.attrs("instance", b.Instance,
 			"attempt", req.number, "predicted", c.cost.String())...)
 	}
 }
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -183,7 +183,7 @@
 	w.holds(1, core.Holdings{Models: loadedModels("m1")})
 	key := w.call("quick", prompt("m1"))
 	first := w.lastSend(key).Instance
-	w.step(AttemptFailed{Key: key, Attempt: 1, Failure: ConnsUsed, Cause: "all in use"})
+	w.step(AttemptFailed{Key: key, Attempt: 1, Failure: ConnsExhausted, Cause: "all in use"})
 	if got := w.lastSend(key).Instance; got == first {
 		t.Fatalf("sent to %s again", got)
 	}
--- a/internal/router/restart.go
+++ b/internal/router/restart.go
@@ -42,7 +42,7 @@
 // engine seemed to hold models, prompts and a queue that are gone, so that callers
 // were sent there to be refused, or waited for answers that nobody was at work on.
 func (r *Router) startedAgain(b *backend, life fleet.Incarnation) {
-	r.log(Belief, "backend server started again", b.attrs("born", life.Born, "born_before", b.Born, "requests", len(b.sent))...)
+	r.log(StateChange, "backend server started again", b.attrs("born", life.Born, "born_before", b.Born, "requests", len(b.sent))...)
 	alive := b.aliveAt
 	r.serverEnded(b, "it started again")
 	b.lost, b.endedAt = nil, 0
@@ -84,7 +84,7 @@
 	r.release(req)
 	req.arrivals++
 	req.mayHaveRun = true
-	r.log(OneRequest, "attempt failed", req.attrs("instance", b.Instance, "attempt", req.number,
+	r.log(SingleRequest, "attempt failed", req.attrs("instance", b.Instance, "attempt", req.number,
 		"failure", Broken.String(), "cause", "the server started again")...)
 	r.lostAt(b, req)
 	r.repeat(req, "the server started again")
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -193,7 +193,7 @@
 	key := w.call("patient", prompt("m1"))
 	w.lastSend(key)
 	w.run(500 * time.Millisecond)
-	w.step(DigestHeard{Digest: core.LoadDigest{From: "10.0.0.2", Engines: []core.EngineCounts{
+	w.step(DigestReceived{Digest: core.LoadDigest{From: "10.0.0.2", Engines: []core.EngineCounts{
 		{Loader: loaderName(0), Age: 1200 * time.Millisecond, Counts: core.Counts{Running: 7}},
 	}}})
 	if own := w.router.loaders[loaderName(0)].ownThen; own != 0 {
--- a/internal/router/restored.go
+++ b/internal/router/restored.go
@@ -20,7 +20,7 @@
 // Each router writes its own evidence only: written by all who know it, one poison request
 // would cost as many calls as there are routers, just when the store comes back.
 func (r *Router) storeWentBack(to core.StorePosition) {
-	r.log(Belief, "platform store went back to a copy of before", slog.String("position", to.String()),
+	r.log(StateChange, "platform store went back to a copy of before", slog.String("position", to.String()),
 		slog.Int("backends", len(r.backends)))
 	r.storeBack = r.now
 	for _, f := range slices.Sorted(maps.Keys(r.published)) {
@@ -43,7 +43,7 @@
 		switch {
 		case b == nil || entry.Compare(b.Incarnation) > 0:
 		case b.unlistedAt != 0:
-			r.log(Belief, "entry of a server that has left is not taken from the copy", b.attrs()...)
+			r.log(StateChange, "entry of a server that has left is not taken from the copy", b.attrs()...)
 			continue
 		case b.Draining:
 			entry.Draining = true
--- a/internal/router/restored_test.go
+++ b/internal/router/restored_test.go
@@ -15,7 +15,7 @@
 	for _, entry := range list {
 		copied[entry.Instance] = entry
 	}
-	w.step(StoreWentBack{To: core.StorePosition{Era: 2, Revision: 100}})
+	w.step(StoreRestored{To: core.StorePosition{Era: 2, Revision: 100}})
 	w.step(BackendsRestored{Backends: copied})
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -162,23 +162,23 @@
 	case Tick:
 	case ConfigRead:
 		r.setConfig(e.Config)
-	case ConfigHeard:
+	case ConfigAnnounced:
 		r.configHeard(e.Version)
 	case ConfigConfirmed:
 		r.configConfirmed(e.AsOf)
 	case BackendsRead:
 		r.readBackends(e.Backends)
-	case StoreWentBack:
+	case StoreRestored:
 		r.storeWentBack(e.To)
 	case BackendsRestored:
 		r.restoreBackends(e.Backends)
 	case BackendsChanged:
 		r.changeBackends(e.Written, e.Removed)
-	case PoisonHeard:
+	case PoisonReported:
 		r.poisonHeard(e.News)
-	case Lift:
+	case LiftPoison:
 		r.lift(e.Fingerprint)
-	case NewsHeard:
+	case NewsReceived:
 		r.changedByNews(e.News)
 	case StoreState:
 		r.ownRead(e.Reachable)
@@ -188,17 +188,17 @@
 		r.loaderUp(e.Loader)
 	case LoaderDown:
 		r.loaderDown(e.Loader)
-	case LoaderSaid:
+	case LoaderReported:
 		r.loaderSaid(e.Loader, e.Holdings)
-	case LoaderCounted:
+	case LoaderCountsReported:
 		r.loaderCounted(e.Loader, e.Counts)
-	case DigestHeard:
+	case DigestReceived:
 		r.digestHeard(e.Digest)
-	case LoaderWantsSpec:
+	case LoaderSpecRequested:
 		r.loaderWantsSpec(e.Loader)
-	case LoaderToldQuota:
-		r.gate.Hear(now, e.Loader, e.Told)
-	case LoaderLimited:
+	case LoaderAnsweredQuota:
+		r.gate.Hear(now, e.Loader, e.Answer)
+	case LoaderAnsweredLimit:
 		r.limitTold(e)
 	case Arrived:
 		r.judge(e.Key, e.Request, now)
@@ -212,9 +212,9 @@
 		r.firstEvent(e)
 	case Done:
 		r.done(e)
-	case Gone:
+	case CallerLeft:
 		r.gone(e.Key)
-	case Lagged:
+	case CPUWaitMeasured:
 		r.lagged(e)
 	}
 	if now >= r.nextTick {
@@ -273,7 +273,7 @@
 	r.setSpecs()
 	r.setQuotas(config.Accounts)
 	r.setAccounts(config.Accounts)
-	r.log(Belief, "configuration in force", slog.Int64("version", config.Version),
+	r.log(StateChange, "configuration in force", slog.Int64("version", config.Version),
 		slog.Int("routes", len(config.Routes)), slog.Int("services", len(config.Services)))
 	r.pumpAll()
 }
--- a/internal/router/serverend.go
+++ b/internal/router/serverend.go
@@ -87,7 +87,7 @@
 	}
 	b.lost = nil
 	r.emit(Count{core.Count{Name: metricServerEnds, Labels: []string{b.Service}, Add: 1}})
-	r.log(Belief, "backend server ended by itself", b.attrs("sign", sign, "born", b.Born, "lost", len(lost))...)
+	r.log(StateChange, "backend server ended by itself", b.attrs("sign", sign, "born", b.Born, "lost", len(lost))...)
 	if len(lost) > 0 {
 		r.takeEnd(r.endOf(b, b.Incarnation, r.now, lost...))
 	}
@@ -108,7 +108,7 @@
 	most := slices.MaxFunc(end.Requests, func(a, b core.LostRequest) int {
 		return r.ledger.Ends(a.Fingerprint) - r.ledger.Ends(b.Fingerprint)
 	}).Fingerprint
-	r.log(Belief, "requests ran on a server that ended", slog.String("instance", end.Life.Instance), slog.Int64("born", end.Life.Born),
+	r.log(StateChange, "requests ran on a server that ended", slog.String("instance", end.Life.Instance), slog.Int64("born", end.Life.Born),
 		slog.String("address", end.Address), slog.String("ended_ago", end.Ago.String()), slog.Int("requests", len(end.Requests)),
 		slog.String("most_often", most.String()), slog.Int("ends", r.ledger.Ends(most)))
 	r.keepFromServers(found)
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -55,17 +55,17 @@
 }
 
 // limitTold takes in what the loader that counts tells of a server's limit.
-func (r *Router) limitTold(e LoaderLimited) {
-	b := r.backends[e.Told.Server.Instance]
+func (r *Router) limitTold(e LoaderAnsweredLimit) {
+	b := r.backends[e.Answer.Server.Instance]
 	if b == nil {
 		return
 	}
-	life := fleet.Incarnation{Instance: e.Told.Server.Instance, Born: e.Told.Server.Born}
+	life := fleet.Incarnation{Instance: e.Answer.Server.Instance, Born: e.Answer.Server.Born}
 	if life.Compare(b.Incarnation) == 0 {
-		r.hearLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Told.Word))
+		r.hearLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Answer.Word))
 	}
-	if e.Told.Ask != 0 {
-		r.permitAnswered(b, e.Told)
+	if e.Answer.Ask != 0 {
+		r.permitAnswered(b, e.Answer)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	change := limitChange(wasLimited, before, limited, now)
 	r.emit(Count{core.Count{Name: metricServerLimits, Labels: []string{b.Service, change}, Add: 1}})
-	r.log(Belief, "backend server's limit", b.attrs("born", b.Born, "change", change, "per_second", now, "before", before,
+	r.log(StateChange, "backend server's limit", b.attrs("born", b.Born, "change", change, "per_second", now, "before", before,
 		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "source", source, "under_way", len(b.sent))...)
 	r.tellKeeper(b)
 }
@@ -117,7 +117,7 @@
 	r.emit(Count{core.Count{Name: metricServerLimits, Labels: []string{b.Service, "malformed"}, Add: 1}})
 	if l := &b.limit; l.malformedAt == 0 || r.now.Sub(l.malformedAt) >= limitLineInterval {
 		l.malformedAt = r.now
-		r.log(Belief, "backend server's limit can't be read; it changes nothing", b.attrs("text", text)...)
+		r.log(StateChange, "backend server's limit can't be read; it changes nothing", b.attrs("text", text)...)
 	}
 }
 
@@ -187,7 +187,7 @@
 			continue
 		}
 		perSecond, _ := l.gate.Limit()
-		r.log(Belief, "requests sent to a server with a limit", b.attrs("per_second", perSecond, "sent", l.sent,
+		r.log(StateChange, "requests sent to a server with a limit", b.attrs("per_second", perSecond, "sent", l.sent,
 			"within", r.now.Sub(l.countedAt).String(), "known_for", r.now.Sub(l.gate.KnownSince()).String())...)
 		l.countedAt, l.sent = r.now, 0
 	}
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -83,7 +83,7 @@
 // limitS0 lets the loader tell that s0 has named a limit.
 func (w *world) limitS0(perSecond float64) {
 	w.t.Helper()
-	w.step(LoaderLimited{Loader: "10.9.0.1", Told: core.LimitTold{
+	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitTold{
 		Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: perSecond, SentAgo: 2, HeardAgo: 1},
 	}})
 }
@@ -101,7 +101,7 @@
 func (w *world) answerAsk(granted bool, room time.Duration) {
 	w.t.Helper()
 	ask := w.lastAsk()
-	w.step(LoaderLimited{Loader: "10.9.0.1", Told: core.LimitTold{
+	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitTold{
 		Server: ask.Server, Word: ask.Word, Ask: ask.Ask, Spare: ask.Spare, Granted: granted, Room: room,
 	}})
 }
@@ -178,7 +178,7 @@
 	w.step(FirstEvent{Key: resumed, Attempt: send.Attempt})
 	w.holds(1, core.Holdings{Instance: "s1", FreeMB: 80_000})
 	waiting := w.call("patient", prompt("m1"))
-	w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{
+	w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{
 		Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
 	}})
 	w.holds(0, core.Holdings{Instance: "s0", Models: loadedModels("m1"), OnDisk: []string{"m1"}})
@@ -246,7 +246,7 @@
 		w.servers(engineService, 2)
 		w.holds(0, core.Holdings{Instance: "s0", Models: loadedModels("m1")})
 		w.holds(1, core.Holdings{Instance: "s1", FreeMB: 80_000, OnDisk: []string{"m1"}})
-		w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{
+		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{
 			Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
 		}})
 		key := w.call("patient", prompt("m1"))
@@ -254,7 +254,7 @@
 		if ask.Spare {
 			t.Error("asked as if another engine could serve it")
 		}
-		w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{Server: ask.Server, Word: ask.Word, Ask: ask.Ask, Room: test.room}})
+		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{Server: ask.Server, Word: ask.Word, Ask: ask.Ask, Room: test.room}})
 		state := w.router.Dump().Waits
 		if len(state) != 1 || state[0].Home != test.want {
 			t.Fatalf("room in %v: waits %+v, want one at %s; ended: %+v", test.room, state, test.want, w.finishes[key])
@@ -326,7 +326,7 @@
 	asked := 0
 	for range 15 {
 		w.limitAsks = nil
-		w.step(LoaderSaid{Loader: "10.9.0.1", Holdings: core.Holdings{Instance: "engine", Routers: 1, Coordinator: "10.0.0.1"}})
+		w.step(LoaderReported{Loader: "10.9.0.1", Holdings: core.Holdings{Instance: "engine", Routers: 1, Coordinator: "10.0.0.1"}})
 		key := w.call("once", nil)
 		if len(w.sends[key]) == 0 {
 			asked++
--- a/internal/router/spec_test.go
+++ b/internal/router/spec_test.go
@@ -17,7 +17,7 @@
 	if first.Spec.Hash == 0 || first.Engine != nil {
 		t.Fatalf("the first word is %+v", first)
 	}
-	w.step(LoaderWantsSpec{Loader: loaderName(0)})
+	w.step(LoaderSpecRequested{Loader: loaderName(0)})
 	asked := w.demands[loaderName(0)]
 	if asked.Engine == nil || asked.Engine.ID != first.Spec || len(asked.Engine.Models) != 10 {
 		t.Fatalf("who asked was told %+v", asked.Engine)
--- a/internal/router/spread.go
+++ b/internal/router/spread.go
@@ -237,7 +237,7 @@
 				since: r.now, until: r.now.Add(ready + spreadLife), spread: true, store: !r.near(b, model.Name),
 			}
 			b.loader.dirty = true
-			r.log(Belief, "model gets a further copy", b.attrs("model", model.Name, "copies", copies, "needed", needed,
+			r.log(StateChange, "model gets a further copy", b.attrs("model", model.Name, "copies", copies, "needed", needed,
 				"heat", r.heat(b), "rate", r.rate(s.name, model.Name), "share", s.speed.share, "undisturbed", s.speed.undisturbed(model.Name).String())...)
 		}
 	}
--- a/internal/router/spread_test.go
+++ b/internal/router/spread_test.go
@@ -202,7 +202,7 @@
 	w.servers(engineService, 2)
 	for i := range 2 {
 		w.step(LoaderUp{Loader: loaderName(i)})
-		w.step(LoaderSaid{Loader: loaderName(i), Holdings: core.Holdings{Routers: 68, Coordinator: "10.0.0.1", Models: []core.HeldModel{
+		w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{Routers: 68, Coordinator: "10.0.0.1", Models: []core.HeldModel{
 			{Name: "m0", State: core.HoldLoaded, Rate: 30, SlowRate: 30}, {Name: "m1", State: core.HoldLoaded, Rate: 0.2, SlowRate: 0.2},
 		}}})
 	}
@@ -236,7 +236,7 @@
 			}
 			holdings.Routers, holdings.Coordinator = 68, "10.0.0.1"
 			w.step(LoaderUp{Loader: loaderName(i)})
-			w.step(LoaderSaid{Loader: loaderName(i), Holdings: holdings})
+			w.step(LoaderReported{Loader: loaderName(i), Holdings: holdings})
 		}
 	}
 	hold()
--- a/internal/router/starved.go
+++ b/internal/router/starved.go
@@ -41,7 +41,7 @@
 // starved tells that requests are to be refused for the wait.
 func (l lag) starved() bool { return l.wait >= starvedFrom }
 
-func (r *Router) lagged(e Lagged) {
+func (r *Router) lagged(e CPUWaitMeasured) {
 	before := r.lag
 	r.lag = lag{wait: e.Wait, at: r.now}
 	if r.lag.starved() == before.starved() {
@@ -51,7 +51,7 @@
 	if r.lag.starved() {
 		message = "process waits for the processor; a part of new requests is refused"
 	}
-	r.log(Belief, message, slog.String("wait", e.Wait.String()), slog.Int("requests", len(r.requests)))
+	r.log(StateChange, message, slog.String("wait", e.Wait.String()), slog.Int("requests", len(r.requests)))
 }
 
 // sheds tells whether a new request is to be refused for the wait.
--- a/internal/router/starved_test.go
+++ b/internal/router/starved_test.go
@@ -17,7 +17,7 @@
 	refused := func(wait time.Duration) int {
 		n := 0
 		for range 200 {
-			w.step(Lagged{Wait: wait})
+			w.step(CPUWaitMeasured{Wait: wait})
 			key := w.call("again", nil)
 			if finish, ended := w.finishes[key]; ended && finish.Code == code.Starved {
 				if finish.RetryAfter <= 0 {
@@ -47,7 +47,7 @@
 func TestOldWaitShedsNothing(t *testing.T) {
 	w := newWorld(t)
 	w.servers(plainService, 3)
-	w.step(Lagged{Wait: 2 * starvedFully})
+	w.step(CPUWaitMeasured{Wait: 2 * starvedFully})
 	w.now = w.now.Add(2 * lagFresh)
 	if finish, ended := w.finishes[w.call("again", nil)]; ended {
 		t.Errorf("refused: %+v", finish)
--- a/internal/router/wait.go
+++ b/internal/router/wait.go
@@ -112,7 +112,7 @@
 	}
 	if w.home != nil {
 		req.cold = r.nearest(w)
-		r.log(OneRequest, "request waits for its model", req.attrs("at", w.home.Instance,
+		r.log(SingleRequest, "request waits for its model", req.attrs("at", w.home.Instance,
 			"ready_in", r.readyIn(w.home, key).String(), "waiting", len(w.requests))...)
 	}
 }
@@ -265,7 +265,7 @@
 	mayHave := func(b *backend) bool { return r.holdings(b) != nil || r.now.Sub(b.foundAt) < noLoaderReturn }
 	none := !slices.ContainsFunc(r.serversOf(service), mayHave)
 	if none && !s.withoutLoader {
-		r.log(Belief, "no engine of the service has a loader that answers; only models that are loaded are served",
+		r.log(StateChange, "no engine of the service has a loader that answers; only models that are loaded are served",
 			slog.String("service", service), slog.Int("engines", len(r.serversOf(service))))
 	}
 	s.withoutLoader = none
--- a/internal/router/wait_test.go
+++ b/internal/router/wait_test.go
@@ -131,7 +131,7 @@
 	}
 	lines := 0
 	for _, l := range w.logs {
-		if l.About == Belief && strings.Contains(l.Message, "loader that answers") {
+		if l.About == StateChange && strings.Contains(l.Message, "loader that answers") {
 			lines++
 		}
 	}
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -23,7 +23,7 @@
 	abandons map[Key]int
 	logs     []Log
 	// told and published are what was told of poison requests.
-	told      []TellRouters
+	told      []RelayPoison
 	published []Publish
 	// looks counts the looks into the store that were asked for.
 	looks int
@@ -106,11 +106,11 @@
 				w.t.Errorf("request %d ended twice: with %v, then %v", e.Key, before.Code, e.Code)
 			}
 			w.finishes[e.Key] = e
-		case Tell:
+		case SendDemand:
 			w.demands[e.Loader] = e.Demand
 		case Abandon:
 			w.abandons[e.Key] = e.Attempt
-		case TellRouters:
+		case RelayPoison:
 			w.told = append(w.told, e)
 		case Publish:
 			w.published = append(w.published, e)
@@ -120,7 +120,7 @@
 			w.asked = append(w.asked, e)
 		case AskQuota:
 			w.quotaAsks = append(w.quotaAsks, e)
-		case LookIntoStore:
+		case ReadStore:
 			w.looks++
 		case Log:
 			w.logs = append(w.logs, e)
@@ -167,7 +167,7 @@
 		w.step(LoaderUp{Loader: loaderName(i)})
 	}
 	holdings.Routers, holdings.Coordinator = 1, "10.0.0.1"
-	w.step(LoaderSaid{Loader: loaderName(i), Holdings: holdings})
+	w.step(LoaderReported{Loader: loaderName(i), Holdings: holdings})
 }
 
 func loadedModels(names ...string) []core.HeldModel {
