--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -8,10 +8,11 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file handles what became of an attempt: what it proves, and whether the
+// This file handles the outcomes of attempts: what an outcome proves, and whether the
 // request goes to another server.
 
-// current returns the request of an attempt, nil if it has moved on.
+// current returns the request of an attempt, nil if the attempt is no longer its current
+// one.
 func (r *Router) current(key Key, number int) *request {
 	req := r.requests[key]
 	if req == nil || req.number != number || req.backend == nil {
@@ -27,10 +28,11 @@
 	}
 	b := req.backend
 	r.release(req)
-	// Guards against leaving out a server for our own limit: its other requests
-	// are served well, and the rest of the load would fall on fewer servers.
+	// Guards against ejecting a server because of this router's own connection limit: the
+	// server serves its other requests, and the rest of the load would fall on fewer
+	// servers.
 	if e.Failure != ConnsExhausted {
-		r.failed(b, e.Failure, e.Cause)
+		r.recordFailure(b, e.Failure, e.Cause)
 	}
 	r.log(SingleRequest, "attempt failed", req.attrs("instance", b.Instance, "attempt", e.Attempt,
 		"failure", e.Failure.String(), "cause", e.Cause, "fingerprint", req.fingerprint.String())...)
@@ -42,15 +44,15 @@
 	}
 	req.arrivals++
 	req.mayHaveRun = true
-	r.repeat(req, "the attempt failed: "+e.Failure.String())
+	r.retry(req, "the attempt failed: "+e.Failure.String())
 }
 
-// repeat sends a request again if it may run once more, else ends it.
-func (r *Router) repeat(req *request, why string) {
+// retry sends a request again if it may run once more, otherwise ends it.
+func (r *Router) retry(req *request, why string) {
 	if req.route.Repeatable() && (!req.forwarded || req.route.Kind == fleet.Stream) {
 		if req.forwarded {
-			// Its caller has just had an event, and waits as long again.
-			req.firstBy = min(req.limit, r.now.Add(patience(req.route)))
+			// Its caller has just received an event and waits for the next one from now on.
+			req.firstEventDeadline = min(req.deadline, r.now.Add(patience(req.route)))
 		}
 		r.dispatch(req)
 		return
@@ -65,20 +67,20 @@
 	}
 	b := req.backend
 	if e.Answer.Load != nil {
-		b.load, b.loadAt, b.loadOwn = e.Answer.Load, r.now, len(b.sent)
+		b.load, b.loadAt, b.ownAtLoad = e.Answer.Load, r.now, len(b.sent)
 	}
 	r.noteLimit(req, e.Answer)
 	switch {
 	case e.Answer.NotRun:
 		r.rejected(req, e)
-	case e.Answer.Status >= 500 && r.mayRepeat(req):
+	case e.Answer.Status >= 500 && r.mayRetry(req):
 		r.release(req)
-		b.failing += (1 - b.failing) * smoothing
+		b.failureRate += (1 - b.failureRate) * smoothing
 		req.arrivals++
 		req.mayHaveRun = true
-		r.repeat(req, "the server failed")
+		r.retry(req, "the server failed")
 	case e.Answer.Status >= 500:
-		b.failing += (1 - b.failing) * smoothing
+		b.failureRate += (1 - b.failureRate) * smoothing
 		r.forward(req)
 	default:
 		if req.route.Kind != fleet.Stream {
@@ -88,9 +90,8 @@
 	}
 }
 
-// mayRepeat tells whether a failed answer can still be replaced by another
-// server's.
-func (r *Router) mayRepeat(req *request) bool {
+// mayRetry reports whether another server's answer can still replace a failed one.
+func (r *Router) mayRetry(req *request) bool {
 	return req.route.Repeatable() && !req.forwarded && req.sends < req.route.MaxAttempts &&
 		r.canServe(req)
 }
@@ -100,17 +101,17 @@
 	r.emit(Forward{Key: req.key, Attempt: req.number})
 }
 
-// rejected handles a server's word that the request did not run.
+// rejected handles a server's response that it did not run the request.
 func (r *Router) rejected(req *request, e Answered) {
 	b := req.backend
 	r.release(req)
 	req.arrivals++
-	b.failing += (1 - b.failing) * smoothing
+	b.failureRate += (1 - b.failureRate) * smoothing
 	r.log(SingleRequest, "backend server refused the request", req.attrs("instance", b.Instance,
 		"attempt", e.Attempt, "status", e.Answer.Status)...)
 	if e.Answer.Absent && req.prompt != nil {
-		// The registry's word is old; without a loader's it would lead the next
-		// request there too.
+		// The registry entry is out of date. Without a report from the loader it would
+		// direct the next request there too.
 		b.Models = slices.DeleteFunc(slices.Clone(b.Models), func(m fleet.LoadedModel) bool { return m.Name == req.prompt.Model })
 		r.reindex(b)
 	}
@@ -119,13 +120,13 @@
 		return
 	}
 	if !req.mayHaveRun && r.servedElsewhere(req) {
-		r.finish(req, code.NoBackend, r.returnIn(quickReturn), "the backend server refused it; another can serve it")
+		r.finish(req, code.NoBackend, r.retryAfterIn(quickRetryAfter), "the backend server refused it; another can serve it")
 		return
 	}
 	r.giveUp(req, code.NoBackend, "the backend server refused it")
 }
 
-// servedElsewhere tells whether another server could serve the request now.
+// servedElsewhere reports whether another server could serve the request immediately.
 func (r *Router) servedElsewhere(req *request) bool {
 	if req.prompt == nil || r.engine(req.service) == nil {
 		return r.canServe(req)
@@ -139,7 +140,7 @@
 	}
 }
 
-// answerBegan counts the latency of an attempt.
+// answerBegan records the latency of an attempt at its first byte or event.
 func (r *Router) answerBegan(req *request) {
 	a := req.attempt
 	if a.answered {
@@ -149,8 +150,8 @@
 	latency := r.now.Sub(a.at)
 	a.first = latency
 	req.first = r.now.Sub(req.arrived)
-	a.beside = r.outstanding(req.backend) - 1
-	r.succeeded(req.backend)
+	a.concurrent = r.outstanding(req.backend) - 1
+	r.recordSuccess(req.backend)
 	if req.prompt != nil && r.engine(req.service) != nil {
 		r.promptBegan(req, latency)
 	} else {
@@ -171,11 +172,11 @@
 	if req.prompt != nil {
 		r.service(req.service).speed.answerEnded(answer{
 			model: req.model(), events: e.Events, pause: e.Pause,
-			first: req.attempt.first, beside: req.attempt.beside,
+			first: req.attempt.first, concurrent: req.attempt.concurrent,
 		})
 	}
 	r.release(req)
-	r.ranWell(req)
+	r.answeredWhole(req)
 	delete(r.requests, req.key)
 	r.emit(Count{core.Count{Name: metricRequests, Labels: []string{req.service, code.OK.String()}, Add: 1}})
 	r.log(SingleRequest, "request served", req.attrs("instance", b.Instance, "attempts", req.number,
--- a/internal/router/backend.go
+++ b/internal/router/backend.go
@@ -10,104 +10,107 @@
 )
 
 const (
-	// holdingsFresh is how long a loader's word counts. Loaders speak at least
-	// every loader.HeartbeatInterval (1 s), so two may be lost.
-	holdingsFresh = 3 * time.Second
-	// loaderGrace is how long after an engine was found its loader's word is waited
-	// for before the registry's is taken: some round trips and the loaders' start.
+	// holdingsMaxAge is the age up to which a loader's report counts. Loaders report at
+	// least every loader.HeartbeatInterval (1 s), so that two reports may be lost.
+	holdingsMaxAge = 3 * time.Second
+	// loaderGrace is how long after an engine was found the router waits for its loader's
+	// report before it uses the registry entry: some round trips and the start of the
+	// loader.
 	//
-	// It guards against the return of a whole fleet: for a moment the registry lists
-	// what engines held before they lost power, and each router sent requests by it
-	// that were refused, 524 in two seconds on 47 engines, until none of the
-	// attempts and of the budget of repeats was left.
+	// It guards against a restart of a whole fleet: for a moment the registry lists what
+	// engines held before they lost power, and each router sent requests accordingly that
+	// were refused, 524 in two seconds on 47 engines, until all attempts and the retry
+	// budget were used up.
 	loaderGrace = 700 * time.Millisecond
-	// loadFresh is how long the load told by a server counts beside our own
-	// count; a plain request takes some 30 ms, so that older ones say nothing.
-	loadFresh = time.Second
-	// smoothing is the weight of a new sample in moving averages: about the
-	// last ten count.
+	// loadMaxAge is the age up to which the load reported by a server counts beside this
+	// router's own count. A plain request takes some 30 ms, so that an older value carries
+	// no information.
+	loadMaxAge = time.Second
+	// smoothing is the weight of a new sample in moving averages: about the last ten
+	// samples count.
 	smoothing = 0.2
-	// firstGuess is the latency of a server that has answered nothing yet.
-	firstGuess = 50 * time.Millisecond
-	// ejectAfter failures in a row, a server gets no requests for a time that
-	// begins with ejectFirst and doubles up to ejectLongest. One failure is no
-	// sign yet: with 2 % lost answers three in a row come once in 125,000.
-	ejectAfter   = 3
-	ejectFirst   = 500 * time.Millisecond
-	ejectLongest = 8 * time.Second
-	// suspectAfter is how many usual latencies the oldest request may wait for
-	// its answer before the server counts as slower by that wait; the least is
-	// suspectLeast, so that jitter of fast servers does not count.
-	suspectAfter = 4
-	suspectLeast = 150 * time.Millisecond
+	// initialLatency is the assumed latency of a server that has not answered yet.
+	initialLatency = 50 * time.Millisecond
+	// After ejectAfter consecutive failures a server gets no requests for a period that
+	// begins with firstEjection and doubles up to maxEjection. One failure is no evidence:
+	// with 2 % lost answers, three in a row occur once in 125,000.
+	ejectAfter    = 3
+	firstEjection = 500 * time.Millisecond
+	maxEjection   = 8 * time.Second
+	// suspectAfter is how many base latencies the oldest request may wait for its answer
+	// before its wait is added to the server's predicted latency. The wait must exceed
+	// minSuspectWait, so that jitter of fast servers does not count.
+	suspectAfter   = 4
+	minSuspectWait = 150 * time.Millisecond
 )
 
-// backend is what a router knows of one backend server.
+// backend is a router's state of one backend server.
 type backend struct {
 	fleet.Backend
-	// foundAt is when it was first seen in the registry.
+	// foundAt is when the server was first seen in the registry.
 	foundAt core.Time
-	// unlistedAt is when the registry dropped the server, 0 while listed.
+	// unlistedAt is when the server was removed from the registry, 0 while it is listed.
 	unlistedAt core.Time
-	// lapsed servers were dropped by the registry around an outage of the
-	// store and may register again.
+	// lapsed is set if the server's registry entry expired around an outage of the store;
+	// the server may register again.
 	lapsed bool
-	// replaced servers had an address that another instance has now.
+	// replaced is set if another instance has taken over the server's address.
 	replaced bool
 	loader   *loader
-	// sent are requests under way here, with the time they were sent.
+	// sent holds the attempts in progress at this server.
 	sent map[Key]*attempt
 
-	// latency is the moving average of a plain service's time to its answer,
-	// without what the load at the time added.
+	// latency is the moving average of a plain service's time to its answer, corrected for
+	// the load at the time.
 	latency time.Duration
-	// queue and cache are what this router knows of an engine's work, and pace
-	// by how much it is slower than its peers, 1 or more.
+	// queue and cache are this router's estimates of an engine's queue and prefix cache.
+	// pace is the factor by which the engine is slower than its peers, 1 or more.
 	queue work.Queue
 	cache *work.Cache
 	pace  float64
-	// failing is the moving share of requests that the server failed, 0 to 1.
-	failing float64
-	// failures in a row, and until when the server is left out for them.
+	// failureRate is the moving average of the share of requests that the server failed, 0
+	// to 1.
+	failureRate float64
+	// failures counts consecutive failures. The server is ejected until ejectedUntil.
 	failures     int
 	ejectedUntil core.Time
 
-	load    *fleet.Load
-	loadAt  core.Time
-	loadOwn int
+	load      *fleet.Load
+	loadAt    core.Time
+	ownAtLoad int
 
-	// lost are requests that ran here when their connection was closed, endedAt when
-	// this life of the server was known to have ended, 0 while it is not.
+	// lost holds requests that ran here when their connection was closed. endedAt is when
+	// the router noticed that this incarnation of the server has ended, 0 while it has not.
 	lost    []lostRequest
 	endedAt core.Time
 
-	// limit is what is known of the requests that it takes.
+	// limit is the state of the server's request limit.
 	limit serverLimit
 
 	indexed indexed
-	// aliveAt is when a word of its present life came last.
+	// aliveAt is when the last report of the server's present incarnation arrived.
 	aliveAt core.Time
 }
 
-// attempt is one request at one server.
+// attempt is one attempt of a request at one server.
 type attempt struct {
 	at core.Time
-	// life is the server's when it was sent.
-	life fleet.Incarnation
-	// answered is set at the first byte that counts: the head, or the first
-	// event of a stream.
+	// incarnation is the server's when the request was sent.
+	incarnation fleet.Incarnation
+	// answered is set at the first byte that counts: the response head, or the first event
+	// of a stream.
 	answered bool
-	// slowdown is the predicted effect of the load when it was sent to a plain
-	// service, forecast what was predicted of a generation.
+	// slowdown is the predicted effect of the load at the time of sending to a plain
+	// service, forecast the prediction for a generation.
 	slowdown float64
 	forecast forecast
-	// first is the time until the first answer, once it has come.
+	// first is the time to the first answer, once it has arrived.
 	first time.Duration
-	// beside is how many other requests were at the server at its first event.
-	beside int
+	// concurrent is how many other requests were at the server at its first event.
+	concurrent int
 }
 
-// draining reports whether the server, by the registry or its loader, leaves.
+// draining reports whether the server is draining, according to the registry or its loader.
 func (r *Router) draining(b *backend) bool {
 	if b.Draining {
 		return true
@@ -116,19 +119,20 @@
 	return held != nil && held.Draining
 }
 
-// usable servers may get requests.
+// usable reports whether the server may get requests.
 func (r *Router) usable(b *backend) bool {
 	return b.unlistedAt == 0 && !r.draining(b) && r.now >= b.ejectedUntil
 }
 
-// holdings returns the loader's word on an engine, nil without a fresh one.
+// holdings returns the last report of an engine's loader, nil if there is none that is
+// recent and of the engine's present incarnation.
 func (r *Router) holdings(b *backend) *core.Holdings {
 	l := b.loader
-	if l == nil || !l.up || l.holdings == nil || r.now.Sub(l.heardAt) > holdingsFresh {
+	if l == nil || !l.up || l.holdings == nil || r.now.Sub(l.lastMessageAt) > holdingsMaxAge {
 		return nil
 	}
-	if l.life().Compare(b.Incarnation) != 0 {
-		return nil // of another life of the engine
+	if l.incarnation().Compare(b.Incarnation) != 0 {
+		return nil // of another incarnation of the engine
 	}
 	return l.holdings
 }
@@ -142,12 +146,12 @@
 		}
 		return true, fleet.LoadedModel{Adapters: m.Adapters}.HasAdapter(adapter)
 	}
-	if r.now.Sub(b.foundAt) < loaderGrace || b.loader != nil && b.loader.life().Compare(b.Incarnation) > 0 {
+	if r.now.Sub(b.foundAt) < loaderGrace || b.loader != nil && b.loader.incarnation().Compare(b.Incarnation) > 0 {
 		return false, false
 	}
-	// Without the loader's word the registry's is the best there is. It is up
-	// to two heartbeats old; a wrong one costs an attempt, which the engine
-	// refuses as not run.
+	// Without a report from the loader, the registry is the best source. Its entry is up to
+	// two heartbeats old; if it is wrong, it costs an attempt, which the engine refuses as
+	// not run.
 	for _, m := range b.Models {
 		if m.Name == model {
 			return true, m.HasAdapter(adapter)
@@ -167,26 +171,26 @@
 
 // outstanding estimates the number of requests at a server.
 //
-// It guards against a herd: what loaders tell of all routers' requests is some
-// 250 ms old. Were it taken as it is, all routers would see the same server as
-// the least loaded and send everything there until the next word. So a part of
-// the estimate is what the server would have if all routers sent as much as
-// this one, which spreads its requests evenly and is never late.
+// It guards against herding: what loaders report of all routers' requests is some 250 ms
+// old. Taken as it is, all routers would consider the same server the least loaded and send
+// everything there until the next report. Therefore a part of the estimate is the load that
+// the server would have if all routers sent as much as this one, which spreads its requests
+// evenly and is always up to date.
 func (r *Router) outstanding(b *backend) int {
 	own := len(b.sent)
 	others := 0
 	if held := r.holdings(b); held != nil {
-		others = held.Running + held.Waiting - b.loader.ownThen
-	} else if b.load != nil && r.now.Sub(b.loadAt) < loadFresh {
-		others = b.load.Running + b.load.Waiting - b.loadOwn
+		others = held.Running + held.Waiting - b.loader.ownRequests
+	} else if b.load != nil && r.now.Sub(b.loadAt) < loadMaxAge {
+		others = b.load.Running + b.load.Waiting - b.ownAtLoad
 	} else {
 		return own
 	}
-	told, alike := float64(own+max(0, others)), float64(own*r.routers())
-	return int(math.Round(r.blend(told, alike)))
+	reported, extrapolated := float64(own+max(0, others)), float64(own*r.routers())
+	return int(math.Round(r.blend(reported, extrapolated)))
 }
 
-// sentBy counts the requests under way at a server that were sent by a time.
+// sentBy counts the requests in progress at a server that were sent by the given time.
 func (b *backend) sentBy(at core.Time) int {
 	n := 0
 	for _, a := range b.sent {
@@ -197,45 +201,45 @@
 	return n
 }
 
-// blendRouters is the number of routers at which an old word on all requests and
-// this router's own, taken for all, are about equally wrong: a word that is some
-// 250 ms old misses what a few requests a second made of it, and with five routers
-// one's own requests differ from a fifth by as much.
+// blendRouters is the number of routers at which an old report on all requests and the
+// extrapolation from this router's own requests are about equally wrong: a report that is
+// some 250 ms old misses the effect of a few requests a second, and with five routers one's
+// own requests deviate from a fifth of all by as much.
 const blendRouters = 5
 
-// blend weighs what is told of all routers' requests against what this router's own
-// would make if all were alike. The error of the latter grows with the number of
-// routers: of 68, one that has a request somewhere knows nothing of 67 others. Taken
-// for half of the estimate there, one request of a router's own counted as 34, its
-// engine seemed full, and callers who could have been served were refused.
-func (r *Router) blend(told, alike float64) float64 {
+// blend weighs the reported value for all routers against the value extrapolated from this
+// router's own requests. The error of the extrapolation grows with the number of routers:
+// with 68 routers, one that has a request at a server has no information on the other 67.
+// When the extrapolation made up half of the estimate there, one own request counted as 34,
+// its engine seemed full, and callers that could have been served were refused.
+func (r *Router) blend(reported, extrapolated float64) float64 {
 	ratio := float64(r.routers()) / blendRouters
 	weight := 1 / (1 + ratio*ratio)
-	return told + weight*(alike-told)
+	return reported + weight*(extrapolated-reported)
 }
 
-// usual is the usual latency of a plain service's server without load.
-func (r *Router) usual(b *backend) time.Duration {
+// baseLatency is the latency of a plain service's server without load.
+func (r *Router) baseLatency(b *backend) time.Duration {
 	if b.latency > 0 {
 		return b.latency
 	}
 	if s := r.services[b.Service]; s != nil && s.latency > 0 {
 		return s.latency
 	}
-	return firstGuess
+	return initialLatency
 }
 
-// slowdown is the factor by which the requests at a plain service's server slow
-// one more down. Below its slots they slow each other mildly; above, they wait
-// for each other.
+// slowdown is the factor by which the requests at a plain service's server slow down one
+// more. Up to its number of slots requests slow each other down slightly; above it they
+// queue.
 func (r *Router) slowdown(b *backend) float64 {
 	slots := float64(max(1, b.Slots))
 	out := r.outstanding(b)
 	return 1 + float64(out)/(2*slots) + 4*max(0, float64(out)+1-slots)/slots
 }
 
-// oldestWait is how long the oldest request at a server has waited for its
-// first answer.
+// oldestWait is how long the oldest unanswered request at a server has waited for its first
+// answer.
 func (r *Router) oldestWait(b *backend) time.Duration {
 	oldest := time.Duration(0)
 	for _, a := range b.sent {
@@ -246,13 +250,13 @@
 	return oldest
 }
 
-// succeeded counts an answer.
-func (r *Router) succeeded(b *backend) {
+// recordSuccess records an answer of a server.
+func (r *Router) recordSuccess(b *backend) {
 	b.failures = 0
-	b.failing -= b.failing * smoothing
+	b.failureRate -= b.failureRate * smoothing
 }
 
-// learnLatency learns the latency of a plain service from an answer.
+// learnLatency updates the latency of a plain service after an answer.
 func (r *Router) learnLatency(b *backend, latency time.Duration, slowdown float64) {
 	alone := time.Duration(float64(latency) / max(1, slowdown))
 	b.latency = average(b.latency, alone)
@@ -267,21 +271,21 @@
 	return old + time.Duration(smoothing*float64(sample-old))
 }
 
-// failed counts a failure of a server and leaves it out after several.
+// recordFailure records a failure of a server and ejects the server after several.
 //
-// It guards against a grey failure: a server whose registry entry and health
-// check are good, but that fails what it gets. It shows as failures in a row
-// at one server only. Leaving it out for longer each time keeps what it still
-// spoils to one request a period, and lets it back once it works.
-func (r *Router) failed(b *backend, failure Failure, cause string) {
-	b.failing += (1 - b.failing) * smoothing
+// It guards against a grey failure: a server whose registry entry and health check are
+// good, but which fails the requests that it gets. Such a server shows consecutive failures
+// that other servers do not have. Ejecting it for longer each time limits the requests that
+// it still fails to one a period, and readmits it once it works.
+func (r *Router) recordFailure(b *backend, failure Failure, cause string) {
+	b.failureRate += (1 - b.failureRate) * smoothing
 	b.failures++
 	if b.failures < ejectAfter && failure != NotSent {
 		return
 	}
 	doublings := max(0, min(b.failures-ejectAfter, 4))
-	period := min(ejectLongest, ejectFirst<<doublings)
+	period := min(maxEjection, firstEjection<<doublings)
 	b.ejectedUntil = r.now.Add(period)
-	r.log(StateChange, "backend server left out", b.attrs(
+	r.log(StateChange, "backend server ejected after failures", b.attrs(
 		"failures", b.failures, "failure", failure.String(), "cause", cause, "for", period.String())...)
 }
--- a/internal/router/background.go
+++ b/internal/router/background.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// spreadWithin ranks a further copy of a busy model like a request whose
-	// objective is missed soon. Ranked behind all that wait, it never came while
-	// rare models were swapped without a pause, and 45 callers a second met at
-	// one engine.
+	// spreadWithin ranks a further copy of a busy model like a request that is about to
+	// miss its objective. Ranked behind all waiting requests, the copy was never loaded
+	// while rare models were swapped continuously, and 45 callers a second met at one
+	// engine.
 	spreadWithin = 500 * time.Millisecond
 	// plannedWithin ranks background loads behind those that requests wait for.
 	plannedWithin = 10 * time.Second
-	// settleTime is how long after the first callers nothing is loaded ahead of
-	// demand: three loads from disk one after the other.
-	settleTime = 2500 * time.Millisecond
-	// backgroundLife is how long a background load is asked for.
+	// startupTime is how long after the first request nothing is loaded ahead of demand:
+	// three consecutive loads from disk.
+	startupTime = 2500 * time.Millisecond
+	// backgroundLife is how long a background load is requested.
 	backgroundLife = 30 * time.Second
 )
 
-// planBackground loads ahead of demand. It answers this pattern: a rare model
-// is called once in ten seconds, and the first call after it was dropped by all
-// engines waits for the store, 6 s, beyond its objective. With a copy near some
-// engine it waits below a second. So while the store is idle, models without a
-// near copy anywhere are read, those called most first; and free memory is
-// filled with models from near copies.
+// planBackground loads models ahead of demand.
+//
+// A rare model is called once in ten seconds, and the first call after all engines evicted
+// it waits for the store, 6 s, beyond its objective. With a copy near some engine it waits
+// below a second. Therefore, while the store is idle, models without a near copy anywhere
+// are read, the most called first, and free memory is filled with models from near copies.
 func (r *Router) planBackground(s *service, engine *fleet.Engine) {
 	engines := r.backgroundEngines(s)
-	if len(engines) == 0 || s.settles(r.now) {
+	if len(engines) == 0 || s.startingUp(r.now) {
 		return
 	}
 	active, waiting := r.storeLoads(s.name)
-	free := s.storeLimit() - active - waiting - s.store.asked()
+	free := s.storeLimit() - active - waiting - s.store.pendingStoreLoads()
 	models := r.modelsByRate(s, engine)
 	for _, model := range models {
 		if near, loaded := r.nearCopies(s.name, model.Name); !loaded && near == 0 && free > 0 && r.readAhead(s, engines, model) {
 			free--
 		}
 	}
-	// Reads from the store come first: they take longest, and an engine that
-	// fills its memory can't begin one meanwhile.
+	// Reads from the store come first: they take longest, and an engine that is filling its
+	// memory can't begin one.
 	for _, model := range models {
 		if near, loaded := r.nearCopies(s.name, model.Name); !loaded && near > 0 {
 			r.fillMemory(s, engines, model)
@@ -53,18 +53,18 @@
 	}
 }
 
-// settles tells that callers came for the first time a moment ago.
+// startingUp reports whether the service's first requests arrived a moment ago.
 //
-// It guards against filling engines with models that nobody calls just when a
-// fleet returns and all its callers with it: each such load keeps an engine from
-// the models that they wait for, for the time of a load.
-func (s *service) settles(now core.Time) bool {
-	return s.firstArrival != 0 && now.Sub(s.firstArrival) < settleTime
+// It guards against filling engines with models that nobody calls when a fleet and all its
+// callers return: each such load keeps an engine from loading a model that callers wait
+// for, for the time of a load.
+func (s *service) startingUp(now core.Time) bool {
+	return s.firstArrival != 0 && now.Sub(s.firstArrival) < startupTime
 }
 
-// asked counts the planned loads from the store that have not begun to wait for
-// a permit.
-func (s *storeState) asked() int {
+// pendingStoreLoads counts the planned loads from the store that do not wait for a permit
+// yet.
+func (s *storeState) pendingStoreLoads() int {
 	count := 0
 	for _, p := range s.planned {
 		if p.store && !p.seen {
@@ -74,8 +74,7 @@
 	return count
 }
 
-// backgroundEngines are those that this router coordinates and that have
-// nothing to do.
+// backgroundEngines returns the idle engines that this router coordinates.
 func (r *Router) backgroundEngines(s *service) []*backend {
 	var engines []*backend
 	for _, b := range r.serversOf(s.name) {
@@ -98,8 +97,8 @@
 	return false
 }
 
-// modelsByRate lists the models, most called first. Those that are equal come
-// in an order that is mixed by hash and the same at all routers.
+// modelsByRate returns the models, most called first. Ties are ordered by a hash, in the
+// same way at all routers.
 func (r *Router) modelsByRate(s *service, engine *fleet.Engine) []fleet.Model {
 	models := slices.Collect(maps.Values(engine.Models))
 	rates := map[string]float64{}
@@ -113,8 +112,8 @@
 	return models
 }
 
-// nearCopies counts the engines with a copy on disk or in memory, and tells
-// whether the model is loaded, or about to be, anywhere.
+// nearCopies counts the engines with a copy on disk or in memory, and reports whether the
+// model is loaded, or about to be, anywhere.
 func (r *Router) nearCopies(service, model string) (near int, loaded bool) {
 	counts := func(b *backend) bool { return b.unlistedAt == 0 && !r.draining(b) }
 	engines := r.service(service).enginesOf(model)
@@ -128,8 +127,8 @@
 			near++
 		}
 	}
-	// A loader learns of a background load some ms after it was decided; until
-	// then it is not among its holdings.
+	// A loader receives a background load some ms after it was decided; until then the load
+	// is not among its holdings.
 	for key := range r.service(service).store.planned {
 		if l := r.loaders[key.loader]; key.model == model && l != nil && r.engineAt(l) != nil {
 			loaded = true
@@ -148,8 +147,7 @@
 	}
 }
 
-// readAhead loads a model from the weight store, at the engine with most free
-// memory.
+// readAhead loads a model from the weight store, at the engine with most free memory.
 func (r *Router) readAhead(s *service, engines []*backend, model fleet.Model) bool {
 	var best *backend
 	for _, b := range engines {
@@ -173,8 +171,8 @@
 	r.log(StateChange, "model is loaded ahead of demand", b.attrs("model", model.Name, "free_mb", r.holdings(b).FreeMB)...)
 }
 
-// plannedWants are the planned loads at an engine. One ends when the model is
-// loaded.
+// plannedWants returns the planned loads at an engine as wants. A planned load ends when
+// the model is loaded.
 func (r *Router) plannedWants(b *backend) []core.Want {
 	s := r.services[b.Service]
 	if s == nil || r.holdings(b) == nil {
@@ -207,13 +205,13 @@
 	return wants
 }
 
-// hasElsewhere tells whether an engine other than b holds a model, loads it or has a copy
-// near.
+// hasElsewhere reports whether an engine other than b holds a model, loads it or has a near
+// copy.
 //
 // It guards against reading a model from the weight store twice: while a fleet starts, two
-// routers coordinate for some ms, and plan the same models at different engines. Of the
-// five models that were read within the 14 s before the first caller, two were read for
-// the second time, while twenty that no engine had waited.
+// routers coordinate for some ms and plan the same models at different engines. Of the five
+// models that were read within the 14 s before the first caller, two were read for the
+// second time, while twenty models that no engine had were left waiting.
 func (r *Router) hasElsewhere(b *backend, model string) bool {
 	there := func(other *backend) bool {
 		return other != b && other.unlistedAt == 0 && !r.draining(other)
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -6,19 +6,19 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// budgetBuckets is how finely a window is counted. A bucket that has partly
-// left the window is still counted, so a finer count allows more.
+// budgetBuckets is the number of buckets of a window. A bucket that has partly left the
+// window still counts, so that more buckets allow more retries.
 const budgetBuckets = 20
 
-// budget bounds the repeats to one service. It answers a retry storm: when
-// servers fail, each failed attempt would be sent again, and the servers that
-// are left get a multiple of the load just when there are fewer of them. With
-// it they get at most ratio x requests + slack more.
+// budget bounds the retries to one service. It guards against a retry storm: when servers
+// fail, each failed attempt would be sent again, and the remaining servers would get a
+// multiple of the load just when there are fewer of them. With the budget they get at most
+// ratio x requests + slack more.
 //
-// Routers share the bound without asking each other: each takes the ratio of
-// its own requests and an even part of the slack.
+// Routers share the bound without communication: each uses the ratio of its own requests
+// and an even part of the slack.
 type budget struct {
-	requests, repeats [budgetBuckets]int
+	requests, retries [budgetBuckets]int
 	current           int64
 }
 
@@ -32,7 +32,7 @@
 	for skipped := 0; b.current < bucket && skipped < budgetBuckets; skipped++ {
 		b.current++
 		b.requests[b.current%budgetBuckets] = 0
-		b.repeats[b.current%budgetBuckets] = 0
+		b.retries[b.current%budgetBuckets] = 0
 	}
 	b.current = bucket
 }
@@ -42,17 +42,17 @@
 	b.requests[b.current%budgetBuckets]++
 }
 
-// take takes one repeat if the budget has one.
+// take takes one retry from the budget, or reports false if the budget is used up.
 func (b *budget) take(now core.Time, window time.Duration, ratio, slack float64) bool {
 	b.advance(now, window)
 	requests, repeats := 0, 0
 	for i := range budgetBuckets {
 		requests += b.requests[i]
-		repeats += b.repeats[i]
+		repeats += b.retries[i]
 	}
 	if float64(repeats+1) > ratio*float64(requests)+slack {
 		return false
 	}
-	b.repeats[b.current%budgetBuckets]++
+	b.retries[b.current%budgetBuckets]++
 	return true
 }
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -12,56 +12,56 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file finds out which client account a request comes from.
+// This file determines which client account a request comes from.
 //
-// A refusal for an unknown key is final for its caller, who does not come back. But
-// operators add keys, and a caller may use one at once, while this router has not read the
-// configuration that has it. So an unknown key is refused only after a look into the
-// platform's store that began after the request came; until then the request is held. If
-// the store can't be asked, the caller is told to come back. Callers who show no key are
-// treated alike: the route may have become public.
+// A refusal for an unknown key is final for its caller, which does not retry. But operators
+// add keys, and a caller may use a new key at once, before this router has read the
+// configuration that contains it. Therefore an unknown key is refused only after a read of
+// the platform's store that began after the request arrived; until then the request is
+// held. If the store can't be read, the caller is told to retry later. Callers without a
+// key are treated in the same way: the route may have become public.
 
 const (
-	// confirmPause is the least time between two looks for the sake of unknown keys:
-	// with a look each 200 ms, callers with wrong keys cost the store 5 calls a second
-	// and router, however many they are.
+	// confirmPause is the minimum time between two reads of the store for the sake of
+	// unknown keys. With one read per 200 ms, callers with wrong keys cost the store 5
+	// calls a second per router, however many they are.
 	confirmPause = 200 * time.Millisecond
-	// holdLimit is how long a request is held for a look: the pause, and some answers'
-	// time of a store that is slow.
+	// holdLimit is how long a request is held for a read: the pause, and several response
+	// times of a slow store.
 	holdLimit = 600 * time.Millisecond
-	// maxHeld bounds the requests that are held at once.
+	// maxHeld bounds the number of requests held at once.
 	maxHeld = 256
-	// refusedLasts is how long a key that was looked for in vain is refused without a
-	// further look. It ends before that with each newer configuration, so that a caller
-	// loses by it only if its key becomes valid and is used before this router has read
-	// that, within a second.
-	refusedLasts = 10 * time.Second
+	// refusedTTL is how long a key that was not found is refused without a further read.
+	// Each newer configuration ends this earlier, so that a caller is refused wrongly only
+	// if its key becomes valid and is used before this router has read that configuration,
+	// within a second.
+	refusedTTL = 10 * time.Second
 )
 
-// heldRequest waits for a look into the store.
+// heldRequest is a request that waits for a read of the store.
 type heldRequest struct {
 	key Key
 	in  fleet.Request
 	at  core.Time
 }
 
-// callers is what a router knows of client accounts.
+// callers is a router's state of client accounts.
 type callers struct {
 	directory *accounts.Directory
 	refused   *accounts.Refused
-	// held are oldest first.
+	// held is sorted, oldest first.
 	held []heldRequest
-	// confirmedAt is when the last look that found the configuration to be the newest
-	// began, askedAt when one was asked for.
+	// confirmedAt is when the last read began that found the configuration in force to be
+	// the newest. askedAt is when a read was last requested.
 	confirmedAt, askedAt core.Time
 }
 
 func newCallers() callers {
-	return callers{directory: accounts.NewDirectory(nil), refused: accounts.NewRefused(refusedLasts)}
+	return callers{directory: accounts.NewDirectory(nil), refused: accounts.NewRefused(refusedTTL)}
 }
 
-// setAccounts takes the accounts of a newer configuration. Requests that are held for it
-// are looked at again.
+// setAccounts installs the accounts of a newer configuration and checks the held requests
+// again.
 func (r *Router) setAccounts(list []fleet.Account) {
 	next := accounts.NewDirectory(list)
 	dropped := r.callers.directory.Dropped(next)
@@ -71,13 +71,13 @@
 	}
 	r.callers.directory = next
 	if len(dropped) > 0 {
-		r.log(StateChange, "keys of client accounts are no longer valid", slog.Int64("version", r.config.Version), slog.Int("keys", len(dropped)))
+		r.log(StateChange, "keys of client accounts removed", slog.Int64("version", r.config.Version), slog.Int("keys", len(dropped)))
 	}
-	r.judgeHeld(false)
+	r.retryHeld(false)
 }
 
-// identify finds the account of a request. It reports false where the request goes no
-// further: it is held or has been refused.
+// identify finds the account of a request. It returns false if the request does not
+// proceed: it is held or has been refused.
 func (r *Router) identify(req *request, in fleet.Request) bool {
 	c := &r.callers
 	if len(r.config.Accounts) == 0 {
@@ -87,7 +87,7 @@
 	switch {
 	case req.account != nil || req.route.Public:
 		return true
-	case !r.configUnread() && (c.confirmedAt >= req.arrived || c.refused.Has(r.now, in.Credential.Key)):
+	case !r.configPending() && (c.confirmedAt >= req.arrived || c.refused.Has(r.now, in.Credential.Key)):
 		c.refused.Add(r.now, in.Credential.Key)
 		r.finish(req, code.UnknownKey, 0, r.unknownKeyReason(in.Credential))
 	default:
@@ -96,8 +96,8 @@
 	return false
 }
 
-// unknownKeyReason tells what the refusal rests on: which configuration, and how long ago
-// that was the newest.
+// unknownKeyReason describes the basis of a refusal: which configuration was used, and how
+// long ago it was confirmed to be the newest.
 func (r *Router) unknownKeyReason(credential fleet.Credential) string {
 	what := "the API key " + credential.Key.String() + " is unknown"
 	if !credential.Given {
@@ -106,62 +106,64 @@
 	return fmt.Sprintf("%s; configuration %d, the newest %v ago", what, r.config.Version, r.now.Sub(r.callers.confirmedAt))
 }
 
-// hold keeps a request until a look into the store has shown whether its key is new.
+// hold keeps a request until a read of the store has shown whether its key is new.
 func (r *Router) hold(req *request, in fleet.Request) {
 	c := &r.callers
-	if r.turnedAway != 0 && !r.configUnread() || len(c.held) >= maxHeld || r.now.Sub(req.arrived) >= holdLimit {
-		r.finish(req, code.KeyUnsure, r.returnIn(unknownReturn), "the API key is unknown here, and the store can't be asked whether it is new")
+	if r.ownReadsFailSince != 0 && !r.configPending() || len(c.held) >= maxHeld || r.now.Sub(req.arrived) >= holdLimit {
+		r.finish(req, code.KeyUnsure, r.retryAfterIn(defaultRetryAfter), "the API key is unknown here, and the store can't be asked whether it is new")
 		return
 	}
 	c.held = append(c.held, heldRequest{key: req.key, in: in, at: req.arrived})
-	r.askStore()
+	r.requestStoreRead()
 }
 
-// askStore asks for a look, unless one is due already.
-func (r *Router) askStore() {
+// requestStoreRead requests a read of the store, unless one was requested within
+// confirmPause.
+func (r *Router) requestStoreRead() {
 	if r.now.Sub(r.callers.askedAt) >= confirmPause {
 		r.callers.askedAt = r.now
 		r.emit(ReadStore{})
 	}
 }
 
-// configConfirmed takes in that the configuration in force was the newest at a time.
+// configConfirmed records that the configuration in force was the newest at a time.
 func (r *Router) configConfirmed(asOf core.Time) {
 	r.callers.confirmedAt = max(r.callers.confirmedAt, asOf)
-	r.judgeHeld(false)
+	r.retryHeld(false)
 }
 
-// judgeHeld looks at the held requests again: at those that can be judged now, or at all.
-func (r *Router) judgeHeld(all bool) {
+// retryHeld decides on the held requests that can be decided now, or on all of them.
+func (r *Router) retryHeld(all bool) {
 	held := r.callers.held
 	r.callers.held = nil
 	for _, h := range held {
 		known := r.callers.directory.Find(h.in.Credential) != nil
 		if all || known || r.callers.confirmedAt >= h.at || r.now.Sub(h.at) >= holdLimit {
-			r.judge(h.key, h.in, h.at)
+			r.admit(h.key, h.in, h.at)
 			continue
 		}
 		r.callers.held = append(r.callers.held, h)
 	}
 }
 
-// checkHeld ends what was held for too long, and asks again for the others.
+// checkHeld ends requests that were held for too long, and requests another read for the
+// rest.
 func (r *Router) checkHeld() {
 	if len(r.callers.held) == 0 {
 		return
 	}
-	r.judgeHeld(r.turnedAway != 0 && !r.configUnread() || r.stopAt != core.Never)
+	r.retryHeld(r.ownReadsFailSince != 0 && !r.configPending() || r.stopAt != core.Never)
 	if len(r.callers.held) > 0 {
-		r.askStore()
+		r.requestStoreRead()
 	}
 }
 
-// leftWhileHeld forgets a held request whose caller has left.
-func (r *Router) leftWhileHeld(key Key) {
+// dropHeld removes a held request whose caller has cancelled it.
+func (r *Router) dropHeld(key Key) {
 	r.callers.held = slices.DeleteFunc(r.callers.held, func(h heldRequest) bool { return h.key == key })
 }
 
-// accountName is the account's name, "" without one.
+// accountName returns the account's name, "" without one.
 func (req *request) accountName() string {
 	if req.account == nil {
 		return ""
@@ -169,8 +171,8 @@
 	return req.account.Name
 }
 
-// rank is the request's priority, 0 first: its account's, if that has one, else its
-// route's.
+// rank returns the request's priority, 0 highest: its account's if that has one, otherwise
+// its route's.
 func (req *request) rank() int {
 	if req.account != nil && req.account.Priority != fleet.RoutePriority {
 		return req.account.Priority
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -13,7 +13,7 @@
 	newKey   = "new-key-01234567890"
 )
 
-// accountsConfig is the test configuration at a version, with one account.
+// accountsConfig returns the test configuration at a version, with one account.
 func accountsConfig(version int64, keys ...string) *fleet.Config {
 	config := testConfig()
 	config.Version = version
@@ -25,15 +25,15 @@
 	return config
 }
 
-func newAccountsWorld(t *testing.T) *world {
-	w := newWorld(t)
+func newAccountsFixture(t *testing.T) *fixture {
+	w := newFixture(t)
 	w.servers(plainService, 2)
 	w.step(ConfigRead{Config: accountsConfig(2, validKey)})
 	return w
 }
 
-// callWith lets a request with a key arrive; "" shows none.
-func (w *world) callWith(routeName, key string) Key {
+// callWith delivers a request with a key, or without one if it is "".
+func (w *fixture) callWith(routeName, key string) Key {
 	w.t.Helper()
 	w.nextID++
 	k := Key(w.nextID)
@@ -45,15 +45,15 @@
 	return k
 }
 
-// confirm lets a look into the store that begins now end some ms later.
-func (w *world) confirm() {
+// confirm ends a read of the store that begins now, some ms later.
+func (w *fixture) confirm() {
 	w.t.Helper()
 	began := w.now
 	w.now = w.now.Add(8 * time.Millisecond)
 	w.step(ConfigConfirmed{AsOf: began})
 }
 
-func (w *world) wantCode(key Key, want code.Code) {
+func (w *fixture) wantCode(key Key, want code.Code) {
 	w.t.Helper()
 	finish, ok := w.finishes[key]
 	switch {
@@ -65,7 +65,7 @@
 }
 
 func TestKnownCallerIsServedUnderItsAccount(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	key := w.callWith("once", validKey)
 	send := w.lastSend(key)
 	if send.Account != "large" || !send.HideCredentials {
@@ -76,8 +76,8 @@
 	}
 }
 
-func TestWithoutAccountsNobodyIsAsked(t *testing.T) {
-	w := newWorld(t)
+func TestWithoutAccountsNoKeyIsNeeded(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 2)
 	send := w.lastSend(w.callWith("once", "any"))
 	if send.Account != "" || send.HideCredentials {
@@ -86,7 +86,7 @@
 }
 
 func TestPublicRouteNeedsNoKey(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	config := accountsConfig(3, validKey)
 	for i := range config.Routes {
 		config.Routes[i].Public = config.Routes[i].Name == "again"
@@ -100,127 +100,127 @@
 }
 
 // An operator adds a key and its holder calls at once, at a router that reads the store
-// once a second. A refusal would be final: the caller does not come back. The request
-// must be held until the router has looked, and then be served.
+// once a second. A refusal would be final: the caller does not retry. The request must be
+// held until the router has read the store, and then be served.
 func TestNewKeyIsServedOnceItIsRead(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	key := w.callWith("once", newKey)
-	if len(w.sends[key]) > 0 || w.looks != 1 {
-		t.Fatalf("%d sends, %d looks into the store, want 0 and 1", len(w.sends[key]), w.looks)
+	if len(w.sends[key]) > 0 || w.storeReads != 1 {
+		t.Fatalf("%d sends, %d reads of the store, want 0 and 1", len(w.sends[key]), w.storeReads)
 	}
 	w.now = w.now.Add(8 * time.Millisecond)
 	w.step(ConfigRead{Config: accountsConfig(3, validKey, newKey)})
 	w.wantCode(key, code.OK)
 }
 
-// A key that nobody holds is refused as soon as a look that began after the request has
-// shown that it is not new; a look that began before it shows nothing.
-func TestUnknownKeyIsRefusedAfterALook(t *testing.T) {
-	w := newAccountsWorld(t)
+// An unknown key must be refused as soon as a read that began after the request has shown
+// that it is not new; a read that began before the request proves nothing.
+func TestUnknownKeyIsRefusedAfterARead(t *testing.T) {
+	w := newAccountsFixture(t)
 	w.confirm()
 	for _, shown := range []string{"wrong", ""} {
 		key := w.callWith("once", shown)
 		w.step(ConfigConfirmed{AsOf: w.now.Add(-time.Millisecond)})
 		if _, ended := w.finishes[key]; ended {
-			t.Errorf("a look of before the request ended it: %+v", w.finishes[key])
+			t.Errorf("a read that began before the request ended it: %+v", w.finishes[key])
 		}
 		w.confirm()
 		w.wantCode(key, code.UnknownKey)
-		looks := w.looks
+		reads := w.storeReads
 		w.wantCode(w.callWith("once", shown), code.UnknownKey)
-		if w.looks != looks {
-			t.Error("a key that was found unknown a moment ago cost another look")
+		if w.storeReads != reads {
+			t.Error("a key that was found unknown a moment ago cost another read")
 		}
 		w.run(confirmPause)
 	}
 }
 
-// The store is away, or turns this router alone away, and a caller shows an unknown key.
-// Whether it is new can't be told: a final refusal may be false, so that the caller must
-// be told to come back; and at once, as no look will succeed.
+// The store is unavailable, for all routers or for this one alone, and a caller uses an
+// unknown key. Whether the key is new is unknown: a final refusal may be wrong, so that the
+// caller must be told to retry later; and at once, as no read will succeed.
 func TestUnknownKeyWithoutAStore(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	w.step(StoreState{Reachable: false})
 	key := w.callWith("once", newKey)
 	w.wantCode(key, code.KeyUnsure)
 	if w.finishes[key].RetryAfter <= 0 {
-		t.Error("the caller is not told when to come back")
+		t.Error("refused without Retry-After")
 	}
 }
 
-// The store turns this router alone away; it hears of others' reads. A caller with an
-// unknown key must be told at once to come back, as no look of this router succeeds: each
-// would cost the store a call, five times a second.
-func TestNoLooksWhereTheStoreTurnsAway(t *testing.T) {
-	w := newAccountsWorld(t)
+// The store refuses this router only, which receives news of the others' reads. A caller
+// with an unknown key must be told at once to retry later, as no read of this router
+// succeeds: each would cost the store a call, five times a second.
+func TestNoReadsWhereTheStoreRefuses(t *testing.T) {
+	w := newAccountsFixture(t)
 	w.step(StoreState{Reachable: false})
 	w.step(NewsReceived{})
 	w.wantCode(w.callWith("once", newKey), code.KeyUnsure)
-	if w.looks > 0 {
-		t.Errorf("%d looks", w.looks)
+	if w.storeReads > 0 {
+		t.Errorf("%d reads", w.storeReads)
 	}
 }
 
-// The store does not answer for long while requests are held. They must not be held for
-// longer than an answer takes.
+// The store does not answer for a long time while requests are held. They must not be held
+// for longer than an answer takes.
 func TestHeldRequestEnds(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	key := w.callWith("once", newKey)
 	w.run(holdLimit + tickInterval)
 	w.wantCode(key, code.KeyUnsure)
 }
 
-// A caller leaves while its request is held. Nothing of it may be sent later.
+// A caller cancels while its request is held. The request must not be sent later.
 func TestCallerLeavesWhileHeld(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	key := w.callWith("once", newKey)
 	w.step(CallerLeft{Key: key})
 	w.step(ConfigRead{Config: accountsConfig(3, validKey, newKey)})
 	if _, ended := w.finishes[key]; ended || len(w.sends[key]) > 0 {
-		t.Errorf("a request whose caller left went on: %+v", w.finishes[key])
+		t.Errorf("a request whose caller had cancelled proceeded: %+v", w.finishes[key])
 	}
 }
 
-// Thousands of callers with wrong keys come in a second. Looks into the store must stay
-// few, and what is held bounded.
-func TestLooksForUnknownKeysAreBounded(t *testing.T) {
-	w := newAccountsWorld(t)
+// Thousands of callers with wrong keys arrive within a second. Reads of the store must stay
+// few, and the number of held requests bounded.
+func TestReadsForUnknownKeysAreBounded(t *testing.T) {
+	w := newAccountsFixture(t)
 	for i := range 2000 {
 		w.callWith("once", string(rune('a'+i%26))+newKey+string(rune('a'+i/26%26)))
 		w.now = w.now.Add(500 * time.Microsecond)
 	}
-	if most := int(time.Second/confirmPause) + 1; w.looks > most {
-		t.Errorf("%d looks in a second, want %d at most", w.looks, most)
+	if most := int(time.Second/confirmPause) + 1; w.storeReads > most {
+		t.Errorf("%d reads in a second, want at most %d", w.storeReads, most)
 	}
 	if held := len(w.router.callers.held); held > maxHeld {
 		t.Errorf("%d requests are held", held)
 	}
 }
 
-// A key is taken away. From the moment at which the router has the newer configuration it
-// must be refused, without a look for each call, and an older configuration that comes
-// late must not bring it back.
+// A key is removed. As soon as the router has the newer configuration the key must be
+// refused, without a read for each call, and an older configuration that arrives late must
+// not restore it.
 func TestRemovedKeyIsRefusedForGood(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	w.step(ConfigRead{Config: accountsConfig(3, newKey)})
 	w.step(ConfigRead{Config: accountsConfig(2, validKey)})
 	w.wantCode(w.callWith("once", validKey), code.UnknownKey)
 	w.wantCode(w.callWith("once", newKey), code.OK)
-	if w.looks > 0 {
-		t.Errorf("%d looks for a key that was taken away", w.looks)
+	if w.storeReads > 0 {
+		t.Errorf("%d reads for a key that was removed", w.storeReads)
 	}
-	w.run(2 * refusedLasts)
+	w.run(2 * refusedTTL)
 	w.wantCode(w.callWith("once", validKey), code.UnknownKey)
 }
 
-// A held request's time counts from its arrival, not from when it went on.
+// A held request's deadline counts from its arrival, not from when it was admitted.
 func TestHeldTimeCounts(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	key := w.callWith("once", newKey)
 	at := w.now
 	w.now = w.now.Add(300 * time.Millisecond)
 	w.step(ConfigRead{Config: accountsConfig(3, validKey, newKey)})
 	if until, want := w.lastSend(key).Until, at.Add(800*time.Millisecond); until != want {
-		t.Errorf("the server has until %v, want %v", until, want)
+		t.Errorf("the attempt ends at %v, want %v", until, want)
 	}
 }
--- a/internal/router/choose_bench_test.go
+++ b/internal/router/choose_bench_test.go
@@ -8,12 +8,12 @@
 	"nutmeglane.example/nutmeglane/internal/work"
 )
 
-// BenchmarkChoose is one decision on where a generation goes, among so many
-// engines that have its model, beside 26 other routers.
+// BenchmarkChoose measures one decision on where a generation is sent, among the given
+// number of engines that have its model, beside 26 other routers.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{12, 50, 78, 300} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			w := newWorld(b)
+			w := newFixture(b)
 			w.servers(engineService, engines)
 			for i := range engines {
 				w.step(LoaderUp{Loader: loaderName(i)})
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -9,17 +9,17 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// Ten requests a second reach each of five routers for a model with four
-// copies, and the word of the loaders is a quarter of a second old. All routers
-// used to send to the same copy until the next word. Each must spread its
-// requests, whatever the old word says.
-func TestRequestsSpreadDespiteOldWord(t *testing.T) {
-	w := newWorld(t)
+// Guards against herding: ten requests a second reach each of five routers for a model with
+// four copies, and the loaders' reports are a quarter of a second old. Without
+// extrapolation all routers send to the same copy until the next report. Each must spread
+// its requests despite the old report.
+func TestRequestsSpreadDespiteOldReport(t *testing.T) {
+	w := newFixture(t)
 	w.servers(engineService, 4)
 	for i := range 4 {
 		running := 10
 		if i == 2 {
-			running = 7 // least loaded, by the old word
+			running = 7 // least loaded, according to the old report
 		}
 		w.step(LoaderUp{Loader: loaderName(i)})
 		w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{
@@ -38,10 +38,10 @@
 	}
 }
 
-// A server hangs: it takes requests and answers none, while its registry entry
-// is good. After the first few wait too long, the others must get the requests.
+// A server hangs: it accepts requests and answers none, while its registry entry is good.
+// After the first few have waited too long, the others must get the requests.
 func TestHangingServerIsAvoided(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 3)
 	toHung := 0
 	for i := range 60 {
@@ -63,10 +63,10 @@
 	}
 }
 
-// A grey server fails what it gets, quickly, and so always looks idle. It must
-// not attract the requests that the others would serve.
+// A grey server fails its requests quickly, and therefore always looks idle. It must not
+// attract the requests that the others would serve.
 func TestGreyServerDoesNotAttract(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 3)
 	toGrey := 0
 	for i := range 90 {
@@ -88,13 +88,13 @@
 	}
 }
 
-// Long prompts share their first 6,000 tokens. Read anew at each engine they
-// cost a third of a second each time; they must go where they are cached.
+// Long prompts share their first 6,000 tokens. Reading them again at each engine costs a
+// third of a second each time; the prompts must go where they are cached.
 func TestLongSharedPromptsGather(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 4)
 	for i := range 4 {
-		w.holds(i, core.Holdings{Models: loadedModels("m1")})
+		w.reportHoldings(i, core.Holdings{Models: loadedModels("m1")})
 	}
 	got := map[string]bool{}
 	for i := range 8 {
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -8,63 +8,66 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file gets a configuration from other routers that this one can't read itself: the
-// store turns it away, its path there is cut, or the store came back from a copy that does
-// not have the newest yet. See package loader for who passes it on.
+// This file gets a configuration from other routers when this one can't read it itself: the
+// store does not answer this router, the network path to the store is down, or the store
+// was restored from a copy that lacks the newest configuration. Package loader relays the
+// request.
 
 const (
-	// askConfigAfter is how long a version that was heard of is left to the router's own
-	// read, which takes some ms where the store answers.
+	// askConfigAfter is how long the router waits for its own read of an announced version,
+	// which takes some ms if the store answers.
 	askConfigAfter = 300 * time.Millisecond
-	// askConfigPause is the pause between two questions: several fit into the shortest
-	// time within which a configuration is to be in force.
+	// askConfigPause is the pause between two requests to loaders: several fit into the
+	// shortest time within which a configuration must be in force.
 	askConfigPause = 300 * time.Millisecond
-	// configLoaders is how many loaders are asked at once: one may be frozen or cut off.
+	// configLoaders is how many loaders are asked at once: one may be frozen or
+	// unreachable.
 	configLoaders = 2
 )
 
-// spreadPart is the part of the time within which a configuration is to be in force that a
-// router of a large fleet waits for who has read it to pass it on, before it reads itself.
-const spreadPart = 0.2
+// relayWaitFraction is the fraction of bounds.ConfigDelay for which a router of a large
+// fleet waits for another router that has read a configuration to relay it, before it reads
+// itself.
+const relayWaitFraction = 0.2
 
-// ConfigRelayWait is how long a configuration that was heard of is left to be passed on; 0 where
-// each router reads for itself.
+// ConfigRelayWait returns how long the router waits for an announced configuration to be
+// relayed, 0 in fleets in which each router reads for itself.
 func (r *Router) ConfigRelayWait() time.Duration {
 	if r.Parts() < 2 {
 		return 0
 	}
-	return time.Duration(spreadPart * float64(r.opts.Bounds.ConfigDelay))
+	return time.Duration(relayWaitFraction * float64(r.opts.Bounds.ConfigDelay))
 }
 
-// heardConfig is the newest version that was heard of.
-type heardConfig struct {
+// announcedConfig is the newest version that was announced.
+type announcedConfig struct {
 	version int64
-	// at is when it was heard of first, nextAsk when loaders are asked next.
+	// at is when the version was first announced, nextAsk when loaders are asked next.
 	at, nextAsk core.Time
 }
 
-// Config is the configuration in force, nil without one. It does not change.
+// Config returns the configuration in force, nil without one. It is immutable.
 func (r *Router) Config() *fleet.Config { return r.config }
 
-// configUnread tells that a newer configuration than the one in force was heard of.
-func (r *Router) configUnread() bool { return r.heard.version > r.ConfigVersion() }
+// configPending reports whether a newer configuration than the one in force was announced.
+func (r *Router) configPending() bool { return r.announced.version > r.ConfigVersion() }
 
-func (r *Router) configHeard(version int64) {
-	if version <= max(r.heard.version, r.ConfigVersion()) {
+func (r *Router) configAnnounced(version int64) {
+	if version <= max(r.announced.version, r.ConfigVersion()) {
 		return
 	}
-	r.heard = heardConfig{version: version, at: r.now}
+	r.announced = announcedConfig{version: version, at: r.now}
 	r.askConfig()
 }
 
-// askConfig asks loaders for a version that was heard of and is not in force: at once
-// where the store does not answer this router, else after the time for an own read.
+// askConfig asks loaders for a version that was announced and is not in force: immediately
+// if the store does not answer this router, otherwise after the time for a read of its own.
 func (r *Router) askConfig() {
-	h := &r.heard
-	if !r.configUnread() || r.now < h.nextAsk {
+	h := &r.announced
+	if !r.configPending() || r.now < h.nextAsk {
 		return
 	}
-	if r.turnedAway == 0 && r.now.Sub(h.at) < r.ConfigRelayWait()+askConfigAfter {
+	if r.ownReadsFailSince == 0 && r.now.Sub(h.at) < r.ConfigRelayWait()+askConfigAfter {
 		return
 	}
 	to := r.Relays(configLoaders)
--- a/internal/router/config_test.go
+++ b/internal/router/config_test.go
@@ -8,50 +8,51 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// The store turns this router away, and operators take a key away meanwhile. The router
-// hears of the newer version from others. It must ask for it at once, go on asking until it
-// has it, and then refuse the key.
-func TestConfigurationIsAskedForWhereTheStoreTurnsAway(t *testing.T) {
-	w := newAccountsWorld(t)
+// The store does not answer this router, and operators remove a key meanwhile. Other
+// routers announce the newer version. The router must ask for it at once, continue to ask
+// until it has it, and then refuse the key.
+func TestConfigurationIsAskedForWhereTheStoreRefuses(t *testing.T) {
+	w := newAccountsFixture(t)
 	w.servers(engineService, 3)
-	w.holds(0, core.Holdings{Instance: "s0"})
+	w.reportHoldings(0, core.Holdings{Instance: "s0"})
 	w.step(StoreState{Reachable: false})
 	w.step(ConfigAnnounced{Version: 3})
-	if len(w.asked) != 1 || w.asked[0].Wanted.Above != 2 {
-		t.Fatalf("asked %+v, want once, above 2", w.asked)
+	if len(w.configAsks) != 1 || w.configAsks[0].Wanted.Above != 2 {
+		t.Fatalf("asked %+v, want once, above 2", w.configAsks)
 	}
 	w.run(time.Second)
-	if got := len(w.asked); got < 3 || got > 5 {
+	if got := len(w.configAsks); got < 3 || got > 5 {
 		t.Errorf("asked %d times within a second", got)
 	}
 	w.step(ConfigRead{Config: accountsConfig(3)})
-	asked := len(w.asked)
+	asked := len(w.configAsks)
 	w.run(time.Second)
-	if len(w.asked) > asked {
+	if len(w.configAsks) > asked {
 		t.Error("asked for a configuration that is in force")
 	}
 	w.wantCode(w.callWith("once", validKey), code.UnknownKey)
 }
 
-// A router that can read the store itself does so within some ms, and asks nobody.
+// A router that can read the store itself does so within some ms, and must not ask for the
+// configuration.
 func TestConfigurationIsNotAskedForWhereTheStoreAnswers(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	w.servers(engineService, 3)
-	w.holds(0, core.Holdings{Instance: "s0"})
+	w.reportHoldings(0, core.Holdings{Instance: "s0"})
 	w.step(ConfigAnnounced{Version: 3})
 	w.run(askConfigAfter / 2)
 	w.step(ConfigRead{Config: accountsConfig(3, validKey)})
 	w.run(time.Second)
-	if len(w.asked) > 0 {
-		t.Errorf("asked %+v", w.asked)
+	if len(w.configAsks) > 0 {
+		t.Errorf("asked %+v", w.configAsks)
 	}
 }
 
-// A newer configuration was heard of and is on its way; a caller shows a key that the one in
-// force does not have. A refusal may be false, and is final: the request waits for the
-// newer one.
+// A newer configuration was announced and is on its way; a caller uses a key that is
+// missing in the one in force. A refusal may be wrong, and is final: the request must wait
+// for the newer configuration.
 func TestNoFinalRefusalWhileAConfigurationIsUnread(t *testing.T) {
-	w := newAccountsWorld(t)
+	w := newAccountsFixture(t)
 	w.servers(plainService, 2)
 	w.step(StoreState{Reachable: false})
 	w.step(ConfigAnnounced{Version: 3})
@@ -62,11 +63,12 @@
 	w.wantCode(unsure, code.KeyUnsure)
 }
 
-// Guards against a large fleet in which each router reads a new configuration, or asks for it,
-// while it is on its way from the one that has read it; and against a small one that waits.
-func TestLargeFleetWaitsForAConfigurationToBePassedOn(t *testing.T) {
+// Guards against a large fleet in which each router reads a new configuration, or asks for
+// it, while another router that has read it relays it; and against a small fleet that
+// waits.
+func TestLargeFleetWaitsForAConfigurationToBeRelayed(t *testing.T) {
 	for routers, want := range map[int]time.Duration{68: 0, 385: 400 * time.Millisecond} {
-		w := newWorld(t)
+		w := newFixture(t)
 		w.servers(engineService, 1)
 		w.step(LoaderUp{Loader: loaderName(0)})
 		w.step(LoaderReported{Loader: loaderName(0), Holdings: core.Holdings{Routers: routers}})
@@ -75,11 +77,11 @@
 		}
 		w.step(ConfigAnnounced{Version: 5})
 		w.run(askConfigAfter + want - tickInterval)
-		if len(w.asked) > 0 {
+		if len(w.configAsks) > 0 {
 			t.Errorf("%d routers: asked while it is on its way", routers)
 		}
 		w.run(2 * tickInterval)
-		if len(w.asked) == 0 {
+		if len(w.configAsks) == 0 {
 			t.Errorf("%d routers: not asked when it did not come", routers)
 		}
 	}
--- a/internal/router/coordinate.go
+++ b/internal/router/coordinate.go
@@ -12,58 +12,61 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file shares out loads from the weight store. It answers this pattern:
-// many rare models wake up at once, and the store reads a few checkpoints at
-// full speed but slows all of them down when there are more. Were each engine
-// to load on its own, twelve loads of 6 s at a store that serves four at a time
-// would all take 18 s. In order they end four by four, after 6, 12 and 18 s: the
-// same store, but callers wait 12 s on average.
+// This file schedules loads from the weight store.
 //
-// One router coordinates. Each loader follows the strongest connected router, of
-// equal ones that of the lowest name, so that no election and no call to the
-// platform's store is needed. While two routers coordinate, after a cut, more loads
-// begin than serve best, which costs time and breaks no promise.
+// Many rare models may be requested at once, and the store reads a few checkpoints at full
+// speed but slows down all of them when there are more. If each engine loaded on its own,
+// twelve loads of 6 s at a store that serves four at a time would all take 18 s. In order
+// they end four by four, after 6, 12 and 18 s: the throughput is the same, but callers wait
+// 12 s on average.
+//
+// One router coordinates. Each loader follows the strongest connected router, of equal ones
+// the one with the lowest name, so that neither an election nor a call to the platform's
+// store is needed. While two routers coordinate, after a network partition, more loads
+// begin than optimal, which costs time but violates no guarantee.
 
 const (
 	// planInterval is the time between two plans of background loads.
 	planInterval = 250 * time.Millisecond
-	// firstStoreLimit is how many store loads may run before any was measured.
-	// It is low since the first load shows how many the store can take, and
-	// too many make all of them late.
-	firstStoreLimit = 2
-	// undisturbed and disturbed are the ratios of a load's time to its nominal
-	// time that tell whether the store was shared by too many.
-	undisturbed = 1.15
-	disturbed   = 1.3
+	// initialStoreLimit is how many store loads may run before any was measured. It is low
+	// since the first load shows how many the store can serve, and too many make all of
+	// them late.
+	initialStoreLimit = 2
+	// uncontendedRatio and contendedRatio are ratios of a load's time to its nominal time:
+	// below the first the store was not overloaded, above the second too many loads shared
+	// it.
+	uncontendedRatio = 1.15
+	contendedRatio   = 1.3
 	// permitLife is how long a permit is repeated to its loader.
 	permitLife = 3 * time.Second
 )
 
-// storeState is what is known of the weight store's speed for a service.
+// storeState is the state of the weight store for a service.
 type storeState struct {
-	// limit is the number of loads at once that run at full speed, as far as
-	// measured.
+	// limit is the number of concurrent loads that run at full speed, as far as measured.
 	limit int
-	// peak is the most loads seen at once since the last result.
+	// peak is the maximum number of concurrent loads seen since the last result.
 	peak int
-	// active and waiting are the loads that run and wait, counted again from
-	// countUntil on.
+	// active and waiting count the loads that run and wait. They are recomputed at
+	// recountAt.
 	active, waiting int
-	countUntil      core.Time
-	// began are the times of granted permits, within the ceiling's window.
-	began []core.Time
-	// granted permits by engine and model, until when they are repeated.
+	recountAt       core.Time
+	// starts holds the times of granted permits within the ceiling's window.
+	starts []core.Time
+	// granted holds the permits by engine and model, with the time until which they are
+	// repeated.
 	granted map[grantKey]core.Time
-	// planned loads, asked for ahead of requests, by engine and model.
+	// planned holds the loads requested ahead of demand, by engine and model.
 	planned map[grantKey]plannedLoad
 }
 
-// plannedLoad is a load that is asked for until a time.
+// plannedLoad is a load that is requested for a limited time.
 type plannedLoad struct {
 	since, until core.Time
-	// spread loads are for a model that is much called; the others yield.
+	// spread is set for further copies of busy models. Loads without it have lower
+	// priority.
 	spread bool
-	// store loads have no near copy; seen is set once the loader tells of it.
+	// store is set if there is no near copy. seen is set once the loader reports the load.
 	store, seen bool
 }
 
@@ -74,29 +77,29 @@
 
 func (s *service) storeLimit() int {
 	if s.store.limit == 0 {
-		s.store.limit = firstStoreLimit
+		s.store.limit = initialStoreLimit
 	}
 	return s.store.limit
 }
 
-// learnStoreLoad adapts the limit to how long a load took. Loads that share
-// the store slow each other in proportion: n at once at a store for k take n/k
-// of the nominal time, so that n over the ratio estimates k.
+// learnStoreLoad adapts the limit to the duration of a load. Loads that share the store
+// slow each other down proportionally: n concurrent loads at a store with capacity k take
+// n/k of the nominal time, so that n divided by the ratio estimates k.
 func (r *Router) learnStoreLoad(b *backend, l *loader) {
 	s := r.service(b.Service)
 	active, _ := r.storeLoads(b.Service)
 	s.store.peak = max(s.store.peak, active)
 	result := l.holdings.StoreLoad
-	if result == nil || result.Sequence == l.storeLoads || result.Nominal <= 0 {
+	if result == nil || result.Sequence == l.storeLoadSeq || result.Nominal <= 0 {
 		return
 	}
-	l.storeLoads = result.Sequence
+	l.storeLoadSeq = result.Sequence
 	ratio := float64(result.Took) / float64(result.Nominal)
 	limit, peak := s.storeLimit(), max(1, s.store.peak)
 	switch {
-	case ratio < undisturbed && peak >= limit:
+	case ratio < uncontendedRatio && peak >= limit:
 		s.store.limit = peak + max(1, peak/2)
-	case ratio > disturbed:
+	case ratio > contendedRatio:
 		s.store.limit = max(1, int(math.Round(float64(peak)/ratio)))
 	}
 	s.store.peak = active
@@ -106,26 +109,26 @@
 	}
 }
 
-// storeLoads counts the loads from the weight store that run, and those that
-// wait for a permit.
+// storeLoads counts the loads from the weight store that run, and those that wait for a
+// permit.
 //
-// It is asked with each word of a loader and for each engine that a queue may go to.
-// Counted each time, it took a second's work with the square of the engines; most words
-// change nothing of it.
+// It is called for each loader report and for each engine considered for a queue.
+// Recounting each time took work quadratic in the number of engines; most reports do not
+// change the result.
 func (r *Router) storeLoads(service string) (active, waiting int) {
 	s := r.service(service)
-	if r.now >= s.store.countUntil {
-		s.store.countUntil = r.now.Add(tickInterval)
+	if r.now >= s.store.recountAt {
+		s.store.recountAt = r.now.Add(tickInterval)
 		s.store.active, s.store.waiting = r.countStoreLoads(service)
 	}
 	return s.store.active, s.store.waiting
 }
 
-// recountStoreLoads has the loads counted again if a loader's word changes them.
+// recountStoreLoads invalidates the counts if a loader's report changes them.
 func (r *Router) recountStoreLoads(service string, before, now *core.Holdings) {
 	activeBefore, waitingBefore := storeLoadsIn(before)
 	if active, waiting := storeLoadsIn(now); active != activeBefore || waiting != waitingBefore {
-		r.service(service).store.countUntil = 0
+		r.service(service).store.recountAt = 0
 	}
 }
 
@@ -157,14 +160,14 @@
 	return active, waiting
 }
 
-// storeWait predicts how long a store load that is asked for now waits for its
-// permit.
+// storeWait predicts how long a store load that is requested now waits for its permit.
 func (r *Router) storeWait(service string, model fleet.Model) time.Duration {
 	return r.permitWait(service, model, 1)
 }
 
-// permitWait predicts how long a store load waits for its permit behind those that
-// run or wait, if so many join them. One that waits already is counted among them.
+// permitWait predicts how long a store load waits for its permit behind those that run or
+// wait, if the given number of loads joins them. A load that already waits is included in
+// the counts.
 func (r *Router) permitWait(service string, model fleet.Model, joining int) time.Duration {
 	active, waiting := r.storeLoads(service)
 	limit := r.service(service).storeLimit()
@@ -172,12 +175,12 @@
 	return time.Duration(float64(ahead) / float64(limit) * float64(model.StoreLoad))
 }
 
-// coordinates tells whether a loader follows this router.
+// coordinates reports whether a loader follows this router.
 func (r *Router) coordinates(l *loader) bool {
 	return l != nil && l.up && l.holdings != nil && l.holdings.Coordinator == r.opts.Host
 }
 
-// coordinatesAny tells whether a loader of the service follows this router.
+// coordinatesAny reports whether a loader of the service follows this router.
 func (r *Router) coordinatesAny(service string) bool {
 	return slices.ContainsFunc(r.serversOf(service), func(b *backend) bool { return r.coordinates(b.loader) })
 }
@@ -217,8 +220,8 @@
 	model  core.HeldModel
 }
 
-// grantPermits lets the store loads begin that most requests wait for, as many
-// as the store serves at full speed and the ceiling allows.
+// grantPermits grants permits to the store loads that help most requests, as many as the
+// store serves at full speed and the ceiling allows.
 func (r *Router) grantPermits(s *service, engine *fleet.Engine) {
 	active, _ := r.storeLoads(s.name)
 	var requests []permitRequest
@@ -241,44 +244,44 @@
 	gain := func(p permitRequest) float64 { return r.permitGain(s, p, engine) }
 	slices.SortStableFunc(requests, func(a, b permitRequest) int { return cmp.Compare(gain(b), gain(a)) })
 	for _, p := range requests {
-		if active >= s.storeLimit() || !s.store.mayBegin(r.now, engine, r.opts.Bounds) {
+		if active >= s.storeLimit() || !s.store.takeStoreLoad(r.now, engine, r.opts.Bounds) {
 			return
 		}
 		active++
 		s.store.granted[grantKey{p.loader.name, p.model.Name}] = r.now.Add(permitLife)
 		p.loader.dirty = true
-		r.log(StateChange, "store load may begin", slog.String("model", p.model.Name), slog.String("loader", string(p.loader.name)),
+		r.log(StateChange, "permit for store load granted", slog.String("model", p.model.Name), slog.String("loader", string(p.loader.name)),
 			slog.Int("waiting", p.model.Waiting), slog.Int("active", active), slog.Int("limit", s.storeLimit()))
 	}
 }
 
-// permitGain is how many requests a load from the weight store helps: those that wait
-// for it, and those that will come while another load takes the store, of which the
-// copy gets its part.
+// permitGain is how many requests a load from the weight store helps: those that wait for
+// it, and the new copy's share of those that will arrive while another load occupies the
+// store.
 //
-// It guards against a model that many call and nobody waits for: its load takes
-// longer than callers stay, so that they are refused at once and leave no queue.
-// Ranked by waiting requests alone, it was read after rare models that one caller
-// waited for, and 40 callers a second were refused for half a minute.
+// It guards against starving a model with many callers none of which wait: its load takes
+// longer than callers stay, so that they are refused at once and leave no queue. Ranked by
+// waiting requests alone, it was read after rare models that one caller waited for, and 40
+// callers a second were refused for half a minute.
 func (r *Router) permitGain(s *service, p permitRequest, engine *fleet.Engine) float64 {
 	copies := len(r.copiesOf(s.name, p.model.Name))
-	coming := r.rate(s.name, p.model.Name) * engine.Models[p.model.Name].StoreLoad.Seconds()
-	return float64(p.model.Waiting) + coming/float64(1+copies)
+	expected := r.rate(s.name, p.model.Name) * engine.Models[p.model.Name].StoreLoad.Seconds()
+	return float64(p.model.Waiting) + expected/float64(1+copies)
 }
 
-// mayBegin keeps the loads that begin within the ceiling's window below its
-// bound, and counts one.
-func (s *storeState) mayBegin(now core.Time, engine *fleet.Engine, bounds fleet.Bounds) bool {
-	s.began = slices.DeleteFunc(s.began, func(at core.Time) bool { return now.Sub(at) > bounds.StoreLoadWindow })
+// takeStoreLoad records the start of a load, or returns false if the ceiling on loads
+// within its window is reached.
+func (s *storeState) takeStoreLoad(now core.Time, engine *fleet.Engine, bounds fleet.Bounds) bool {
+	s.starts = slices.DeleteFunc(s.starts, func(at core.Time) bool { return now.Sub(at) > bounds.StoreLoadWindow })
 	most := engine.StoreLoadsPerSecond * bounds.StoreLoadWindow.Seconds() * bounds.StoreLoadSlack
-	if engine.StoreLoadsPerSecond > 0 && float64(len(s.began)+1) > max(1, most) {
+	if engine.StoreLoadsPerSecond > 0 && float64(len(s.starts)+1) > max(1, most) {
 		return false
 	}
-	s.began = append(s.began, now)
+	s.starts = append(s.starts, now)
 	return true
 }
 
-// permits are the models that a loader may load from the store now.
+// permits returns the models that a loader may load from the store now.
 func (r *Router) permits(l *loader) []string {
 	if !r.coordinates(l) {
 		return nil
--- a/internal/router/coordinate_test.go
+++ b/internal/router/coordinate_test.go
@@ -7,15 +7,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// At the start some models have no copy near any engine, and all engines have
-// free memory to fill from their disks. Filling used to count against the loads
-// from the store, so that none was read before callers came, and the first
-// calls of those models waited six seconds.
+// At the start some models have no copy near any engine, and all engines have free memory
+// to fill from their disks. Guards against counting these loads against the loads from the
+// store: none was read before callers came, and the first calls of those models waited six
+// seconds.
 func TestReadsAheadWhileMemoryIsFilled(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 6)
 	for i := range 6 {
-		w.holds(i, core.Holdings{FreeMB: 80_000, OnDisk: []string{"m0", "m1", "m2", "m3", "m4"}})
+		w.reportHoldings(i, core.Holdings{FreeMB: 80_000, OnDisk: []string{"m0", "m1", "m2", "m3", "m4"}})
 	}
 	w.run(planInterval + tickInterval)
 	ahead := map[string]int{}
@@ -28,8 +28,8 @@
 	for _, model := range []string{"m5", "m6", "m7", "m8", "m9"} {
 		fromStore += ahead[model]
 	}
-	if fromStore != firstStoreLimit {
-		t.Errorf("%d models asked from the store, want %d: %v", fromStore, firstStoreLimit, ahead)
+	if fromStore != initialStoreLimit {
+		t.Errorf("%d models asked from the store, want %d: %v", fromStore, initialStoreLimit, ahead)
 	}
 	if len(ahead) <= fromStore {
 		t.Errorf("no model is loaded from disk ahead: %v", ahead)
@@ -41,15 +41,15 @@
 	}
 }
 
-// Twelve engines want models from the store at once. Were all let in, each load
-// would take three times as long; two must begin, and more once the first show
-// that the store carries more.
+// Twelve engines request models from the store at once. If all loads began, each would take
+// three times as long; two must begin, and more once the first show that the store has
+// capacity for more.
 func TestStoreLoadsBeginInOrder(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 8)
 	permit := []core.HeldModel{{Name: "m1", State: core.HoldPermit, ReadyIn: 6 * time.Second}}
 	for i := range 8 {
-		w.holds(i, core.Holdings{Models: permit})
+		w.reportHoldings(i, core.Holdings{Models: permit})
 	}
 	w.run(planInterval + tickInterval)
 	var granted []int
@@ -58,31 +58,31 @@
 			granted = append(granted, i)
 		}
 	}
-	if len(granted) != firstStoreLimit {
-		t.Fatalf("%d loads may begin, want %d", len(granted), firstStoreLimit)
+	if len(granted) != initialStoreLimit {
+		t.Fatalf("%d loads may begin, want %d", len(granted), initialStoreLimit)
 	}
 	for _, i := range granted {
-		w.holds(i, core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldStoreLoading, ReadyIn: 6 * time.Second}}})
+		w.reportHoldings(i, core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldStoreLoading, ReadyIn: 6 * time.Second}}})
 	}
 	for _, i := range granted {
-		w.holds(i, core.Holdings{Models: loadedModels("m1"), StoreLoad: &core.StoreLoadResult{
+		w.reportHoldings(i, core.Holdings{Models: loadedModels("m1"), StoreLoad: &core.StoreLoadResult{
 			Sequence: 1, Took: 6 * time.Second, Nominal: 6 * time.Second,
 		}})
 	}
-	if got := w.router.services[engineService].storeLimit(); got <= firstStoreLimit {
+	if got := w.router.services[engineService].storeLimit(); got <= initialStoreLimit {
 		t.Errorf("limit %d after loads at full speed, want more", got)
 	}
 }
 
-// The store serves one load at full speed. Two at once took twice the time: the
-// limit must fall to one, or every load is late for as long as any waits.
+// The store serves one load at full speed, and two at once take twice the time: the limit
+// must fall to one, or every load is late as long as any waits.
 func TestStoreLimitFalls(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
 	for i := range 2 {
-		w.holds(i, core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldStoreLoading, ReadyIn: 6 * time.Second}}})
+		w.reportHoldings(i, core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldStoreLoading, ReadyIn: 6 * time.Second}}})
 	}
-	w.holds(0, core.Holdings{Models: loadedModels("m1"), StoreLoad: &core.StoreLoadResult{
+	w.reportHoldings(0, core.Holdings{Models: loadedModels("m1"), StoreLoad: &core.StoreLoadResult{
 		Sequence: 1, Took: 12 * time.Second, Nominal: 6 * time.Second,
 	}})
 	if got := w.router.services[engineService].storeLimit(); got != 1 {
@@ -90,12 +90,12 @@
 	}
 }
 
-// Demand has moved to a model that only the weight store has. Its load takes longer
-// than callers stay: each is refused at once, and none waits. Rare models, for each of
-// which one patient caller waits, were read before it, one after the other, while 40
-// callers a second went away. The model that most will call comes first.
+// Demand has moved to a model that only the weight store has. Its load takes longer than
+// callers stay: each is refused at once, and none waits. Rare models, for each of which one
+// patient caller waits, were read before it, while 40 callers a second were refused. The
+// model with most expected calls must come first.
 func TestMuchCalledModelIsReadBeforeRareOnes(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 4)
 	s := w.router.services[engineService]
 	s.store.limit = 1
@@ -104,7 +104,7 @@
 		if i == 3 {
 			waits = core.HeldModel{Name: "m2", State: core.HoldPermit, Rate: 40}
 		}
-		w.holds(i, core.Holdings{Models: []core.HeldModel{waits}})
+		w.reportHoldings(i, core.Holdings{Models: []core.HeldModel{waits}})
 	}
 	w.run(planInterval + tickInterval)
 	for i := range 4 {
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -11,84 +11,84 @@
 )
 
 const (
-	// demandInterval is the time between two looks at whether a loader is to be
-	// told anew, when nothing changed that it must know at once.
+	// demandInterval is the time between two checks whether a loader needs a new Demand,
+	// when nothing changed that must be sent at once.
 	demandInterval = 500 * time.Millisecond
-	// demandKeepalive is the longest time between two Demands, which mends one
-	// that a loader did not take in.
+	// demandKeepalive is the maximum time between two Demands. It repairs the loss of one
+	// that a loader did not process.
 	demandKeepalive = 10 * time.Second
-	// Rates are told again once the loader's own estimate is off by more than
-	// rateOff of it and more than rateLeast or fastRateLeast: half of what one
-	// arrival adds to the slow and to the fast rate. An arrival is told, its fading
-	// away is not: the loader works that out. A model that is called once a second
-	// at a router is told with nearly each call: at 0.2 two calls went by untold, and
-	// the loaders' sums were a tenth too low.
-	rateOff       = 0.08
-	rateLeast     = 0.05
-	fastRateLeast = 0.2
-	// leastUse is the slow rate from which on a use is told: one call counts for the
-	// last of it. After 46 s, 1% of it are left.
-	leastUse = 0.001
+	// A rate is sent again once the loader's own estimate is off by more than rateTolerance
+	// of it and by more than minRateChange or minFastRateChange: half of what one arrival
+	// adds to the slow and to the fast rate. Arrivals are sent; decay is not, because the
+	// loader computes it. A model that is called once a second at a router is sent with
+	// nearly each call: with a tolerance of 0.2, two calls passed unsent, and the loaders'
+	// sums were a tenth too low.
+	rateTolerance     = 0.08
+	minRateChange     = 0.05
+	minFastRateChange = 0.2
+	// minUseRate is the slow rate above which a use is sent: one call counts for the last
+	// of it. After 46 s, 1% of the call is left.
+	minUseRate = 0.001
 )
 
-// tellLoaders sends each loader what changed.
+// sendDemands sends each loader its Demand if it has changed.
 //
-// Uses are told when they changed by much. Told at each interval they were half of
-// a large fleet's messages: 68 routers that each get seven requests a second told
-// 78 loaders twice a second that nothing runs.
-func (r *Router) tellLoaders() {
+// Uses are sent only when they changed significantly. Sent at each interval, they were half
+// of a large fleet's messages: 68 routers that each get seven requests a second told 78
+// loaders twice a second that nothing runs.
+func (r *Router) sendDemands() {
 	if r.config == nil {
 		return
 	}
 	for _, l := range r.sortedLoaders() {
-		if !l.up || !l.dirty && r.now.Sub(l.lookedAt) < demandInterval {
+		if !l.up || !l.dirty && r.now.Sub(l.demandCheckedAt) < demandInterval {
 			continue
 		}
 		if b := r.engineAt(l); b != nil {
-			r.tellLoader(l, b)
+			r.sendDemand(l, b)
 		}
 	}
 }
 
-func (r *Router) tellLoader(l *loader, b *backend) {
-	l.lookedAt = r.now
+func (r *Router) sendDemand(l *loader, b *backend) {
+	l.demandCheckedAt = r.now
 	demand := r.demand(l, b)
-	past := r.now.Sub(l.toldAt)
-	if !l.dirty && past < demandKeepalive && sameDemand(l.told, demand, past) {
+	past := r.now.Sub(l.demandSentAt)
+	if !l.dirty && past < demandKeepalive && sameDemand(l.lastDemand, demand, past) {
 		return
 	}
-	if demand.Expects() && !l.told.Expects() {
+	if demand.Expects() && !l.lastDemand.Expects() {
 		l.expectedSince = r.now
 	}
-	l.dirty, l.toldAt, l.told = false, r.now, demand
+	l.dirty, l.demandSentAt, l.lastDemand = false, r.now, demand
 	r.emit(SendDemand{Loader: l.name, Demand: demand})
 }
 
-// sameDemand tells whether a loader that was told a Demand some time ago need not
-// be told the one that holds now.
-func sameDemand(told, now core.Demand, past time.Duration) bool {
+// sameDemand reports whether the Demand that a loader received some time ago still
+// describes the present one.
+func sameDemand(sent, now core.Demand, past time.Duration) bool {
 	sameWant := func(a, b core.Want) bool {
-		a.Within, b.Within = 0, 0 // it goes on by itself
+		a.Within, b.Within = 0, 0 // the loader counts it down itself
 		return a == b
 	}
-	return now.Engine == nil && now.Spec.Hash == 0 && told.Direct == now.Direct && told.Instance == now.Instance && told.Born == now.Born &&
-		slices.Equal(told.Permits, now.Permits) &&
-		slices.EqualFunc(told.Wants, now.Wants, sameWant) && sameUses(told.Uses, now.Uses, past)
+	return now.Engine == nil && now.Spec.Hash == 0 && sent.Direct == now.Direct && sent.Instance == now.Instance && sent.Born == now.Born &&
+		slices.Equal(sent.Permits, now.Permits) &&
+		slices.EqualFunc(sent.Wants, now.Wants, sameWant) && sameUses(sent.Uses, now.Uses, past)
 }
 
-// sameUses compares uses in the order of their names. One that is not told is none.
-func sameUses(told, now []core.Use, past time.Duration) bool {
-	for len(told) > 0 || len(now) > 0 {
+// sameUses compares uses sorted by name. A missing use counts as zero.
+func sameUses(sent, now []core.Use, past time.Duration) bool {
+	for len(sent) > 0 || len(now) > 0 {
 		var a, b core.Use
-		switch order := compareFirst(told, now); {
+		switch order := compareFirst(sent, now); {
 		case order < 0:
-			a, told = told[0], told[1:]
+			a, sent = sent[0], sent[1:]
 			b.Model, b.Adapter = a.Model, a.Adapter
 		case order > 0:
 			b, now = now[0], now[1:]
 			a.Model, a.Adapter = b.Model, b.Adapter
 		default:
-			a, told = told[0], told[1:]
+			a, sent = sent[0], sent[1:]
 			b, now = now[0], now[1:]
 		}
 		if !sameUse(a, b, past) {
@@ -98,7 +98,7 @@
 	return true
 }
 
-// compareFirst compares the first uses of two lists, of which an empty one comes last.
+// compareFirst compares the first uses of two lists. An empty list sorts last.
 func compareFirst(a, b []core.Use) int {
 	switch {
 	case len(a) == 0:
@@ -114,29 +114,29 @@
 	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 }
 
-func sameUse(told, now core.Use, past time.Duration) bool {
-	return told.Model == now.Model && told.Adapter == now.Adapter && told.Spare == now.Spare && told.Copies == now.Copies &&
-		sameRunning(told.Running, now.Running) &&
-		sameRate(core.Decayed(told.Rate, core.RateMemory, past), now.Rate, rateLeast) &&
-		sameRate(core.Decayed(told.FastRate, core.FastRateMemory, past), now.FastRate, fastRateLeast)
+func sameUse(sent, now core.Use, past time.Duration) bool {
+	return sent.Model == now.Model && sent.Adapter == now.Adapter && sent.Spare == now.Spare && sent.Copies == now.Copies &&
+		sameRunning(sent.Running, now.Running) &&
+		sameRate(core.Decayed(sent.Rate, core.RateMemory, past), now.Rate, minRateChange) &&
+		sameRate(core.Decayed(sent.FastRate, core.FastRateMemory, past), now.FastRate, minFastRateChange)
 }
 
-// sameRunning tells whether two counts mean the same to a loader: whether any
-// request runs, and how many to a half.
-func sameRunning(told, now int) bool {
-	return (told == 0) == (now == 0) && 2*max(told-now, now-told) <= max(told, now)
+// sameRunning reports whether two counts are equivalent for a loader: whether any request
+// runs, and the number to within a half.
+func sameRunning(sent, now int) bool {
+	return (sent == 0) == (now == 0) && 2*max(sent-now, now-sent) <= max(sent, now)
 }
 
-func sameRate(told, now, least float64) bool {
-	return math.Abs(told-now) <= max(least, rateOff*told)
+func sameRate(sent, now, least float64) bool {
+	return math.Abs(sent-now) <= max(least, rateTolerance*sent)
 }
 
 func (r *Router) demand(l *loader, b *backend) core.Demand {
 	demand := core.Demand{Instance: b.Instance, Born: b.Born, Permits: r.permits(l), Uses: r.uses(b)}
-	if l.told.Instance == "" { // the first word on this connection
+	if l.lastDemand.Instance == "" { // the first Demand on this connection
 		demand.Processor = r.opts.Processor
 	}
-	demand.Direct = r.digests.direct && r.byDigest(l)
+	demand.Direct = r.digests.direct && r.coveredByDigest(l)
 	r.addSpec(&demand, l, r.service(b.Service).spec)
 	for _, key := range slices.SortedFunc(maps.Keys(r.waits), compareWaitKeys) {
 		if w := r.waits[key]; w.home == b {
@@ -156,17 +156,17 @@
 	return want
 }
 
-// objectiveLeft is the time until the request misses its objective.
+// objectiveLeft returns the time until the request misses its objective.
 func (req *request) objectiveLeft(now core.Time) time.Duration {
 	return req.arrived.Add(req.route.Objective).Sub(now)
 }
 
-// adapterWants asks for the adapters of those who wait for a model, ahead of its
-// being loaded.
+// adapterWants returns wants for the adapters of the requests that wait for a model, before
+// the model is loaded.
 //
-// It guards against a to and fro: asked for when the model stands, adapters came
-// after the engine's next load had begun, during which it takes no order; callers
-// of adapters waited for two loads in place of one.
+// When adapters were requested only once the model was loaded, they came after the engine's
+// next load, during which it takes no order; callers of adapters waited for two loads
+// instead of one.
 func (r *Router) adapterWants(w *wait) []core.Want {
 	if w.key.adapter != "" {
 		return nil
@@ -193,13 +193,13 @@
 	return wants
 }
 
-// uses tells how much this router uses what an engine holds, so that its loader knows
-// what to evict first. Whoever coordinates the loader also tells of all that the engine
-// holds how many copies there are.
+// uses returns how much this router uses what an engine holds, so that its loader can
+// decide what to evict first. The coordinator of the loader also reports how many copies
+// there are of each model that the engine holds.
 //
-// It answers this pattern: of 385 routers each gets two requests a second, and knows
-// nothing of most models. Each told each of 600 loaders the copies of all that it holds,
-// worked out twice a second from what all engines hold.
+// With 385 routers each gets two requests a second and uses few of the models. Otherwise
+// each router would report to each of 600 loaders, twice a second, the copies of all models
+// that it holds, computed from the holdings of all engines.
 func (r *Router) uses(b *backend) []core.Use {
 	held := r.holdings(b)
 	if held == nil {
@@ -223,7 +223,7 @@
 		use := s.use(r.now, modelKey{model: m.Name}, running)
 		if coordinates {
 			use.Copies = len(r.copiesOf(b.Service, m.Name))
-			use.Spare = s.knowsDemand(r.now) && use.Copies > r.need(s, m.Name)
+			use.Spare = s.demandKnown(r.now) && use.Copies > r.need(s, m.Name)
 		}
 		uses = appendUse(uses, use)
 		for _, adapter := range m.Adapters {
@@ -234,15 +234,16 @@
 	return uses
 }
 
-// appendUse appends a use, unless there is nothing to tell of it.
+// appendUse appends a use, unless it is insignificant.
 func appendUse(uses []core.Use, use core.Use) []core.Use {
-	if use.Running == 0 && use.Copies == 0 && use.Rate < leastUse {
+	if use.Running == 0 && use.Copies == 0 && use.Rate < minUseRate {
 		return uses
 	}
 	return append(uses, use)
 }
 
-// use tells how much a model or adapter is used, with what runs at one engine.
+// use returns how much a model or adapter is used, with the requests that run at one
+// engine.
 func (s *service) use(now core.Time, key modelKey, running map[modelKey]int) core.Use {
 	slow, fast := s.rate(key).both(now)
 	return core.Use{Model: key.model, Adapter: key.adapter, Running: running[key], Rate: slow, FastRate: fast}
--- a/internal/router/demand_test.go
+++ b/internal/router/demand_test.go
@@ -7,16 +7,16 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Requests wait for a model, and their engine's loader speaks. Each word made all
-// routers answer, and each answer the loader: on some days a thousand messages a
-// second at each router, and 20 times the processor time. A word that changes
-// nothing for the queue is not answered.
-func TestLoadersWordIsNotAnsweredWithoutNews(t *testing.T) {
-	w := newWorld(t)
+// Requests wait for a model, and their engine's loader reports. Guards against messages
+// without content: when each report made all routers answer, and each answer the loader,
+// there were a thousand messages a second at each router and 20 times the processor time. A
+// report that does not affect the queue must not be answered.
+func TestUnchangedReportGetsNoDemand(t *testing.T) {
+	w := newFixture(t)
 	w.servers(engineService, 2)
 	near := core.Holdings{OnDisk: []string{"m1"}, FreeMB: 80_000, FreeIn: time.Second}
 	for i := range 2 {
-		w.holds(i, near)
+		w.reportHoldings(i, near)
 	}
 	key := w.call("patient", prompt("m1"))
 	if len(w.sends[key]) != 0 {
@@ -25,24 +25,24 @@
 	clear(w.demands)
 	for i := range 2 {
 		w.now = w.now.Add(time.Millisecond)
-		w.holds(i, near)
+		w.reportHoldings(i, near)
 	}
 	if len(w.demands) != 0 {
-		t.Fatalf("loaders were answered without news: %v", w.demands)
+		t.Fatalf("loaders were answered without a change: %v", w.demands)
 	}
 	w.call("patient", prompt("m1"))
 	if len(w.demands) != 1 {
-		t.Fatalf("a further request was told to %d loaders, wanted the one that loads", len(w.demands))
+		t.Fatalf("a further request was reported to %d loaders, want only the one that loads", len(w.demands))
 	}
 }
 
-// Callers wait for a model's adapter while the model is loaded. Asked for only
-// once it stood, the adapter came after the engine's next load: 0.8 s later. The
-// loader must hear of both at once.
+// Callers wait for a model's adapter while the model is loaded. When it was requested only
+// after that, the adapter came after the engine's next load: 0.8 s later. The loader must
+// receive both wants at once.
 func TestAdaptersAreAskedForWithTheirModel(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 1)
-	w.holds(0, core.Holdings{OnDisk: []string{"m1"}, FreeMB: 80_000})
+	w.reportHoldings(0, core.Holdings{OnDisk: []string{"m1"}, FreeMB: 80_000})
 	p := prompt("m1")
 	p.Adapter = "a3"
 	w.call("patient", p)
@@ -55,18 +55,18 @@
 	}
 }
 
-// Two engines have a model; one of them loads another model, during which it
-// takes no order. An adapter must be asked for at the one that can have it now.
+// Two engines have a model; one of them is loading another model, during which it takes no
+// order. An adapter must be requested at the one that can load it now.
 func TestAdapterIsLoadedWhereNoLoadIsUnderWay(t *testing.T) {
 	for loading := range 2 {
-		w := newWorld(t)
+		w := newFixture(t)
 		w.servers(engineService, 2)
 		for i := range 2 {
 			models := loadedModels("m1")
 			if i == loading {
 				models = append(models, core.HeldModel{Name: "m2", State: core.HoldLoading, ReadyIn: 800 * time.Millisecond})
 			}
-			w.holds(i, core.Holdings{Models: models})
+			w.reportHoldings(i, core.Holdings{Models: models})
 		}
 		p := prompt("m1")
 		p.Adapter = "a3"
@@ -80,12 +80,12 @@
 	}
 }
 
-// Guards against demands that grow with what a fleet holds: a router tells the loader of an
-// engine nothing of models that it does not use, however many are loaded there. Whoever
-// coordinates tells how many copies there are.
-func TestOnlyWhatIsUsedIsTold(t *testing.T) {
+// Guards against demands that grow with what a fleet holds: a router must report no use of
+// models that it does not use to an engine's loader, however many are loaded there. Only
+// the coordinator reports how many copies there are.
+func TestOnlyUsedModelsAreReported(t *testing.T) {
 	for _, coordinator := range []core.HostID{"10.0.0.1", "10.0.0.2"} {
-		w := newWorld(t)
+		w := newFixture(t)
 		w.servers(engineService, 1)
 		held := core.Holdings{Models: loadedModels("m0", "m1", "m2"), Routers: 2, Coordinator: coordinator}
 		w.step(LoaderUp{Loader: loaderName(0)})
@@ -98,16 +98,17 @@
 		uses := w.demands[loaderName(0)].Uses
 		if coordinates := coordinator == w.router.opts.Host; coordinates {
 			if len(uses) != 3 || uses[0].Copies != 1 {
-				t.Errorf("the coordinator tells %+v", uses)
+				t.Errorf("the coordinator reports %+v", uses)
 			}
 		} else if len(uses) != 1 || uses[0].Model != "m1" || uses[0].Copies != 0 {
-			t.Errorf("another router tells %+v", uses)
+			t.Errorf("another router reports %+v", uses)
 		}
 	}
 }
 
-// Guards against a word to each loader whenever a use that is not told any more has faded.
-func TestFadedUsesAreNoNews(t *testing.T) {
+// Guards against a message to each loader whenever a use that is no longer sent has
+// decayed.
+func TestDecayedUsesAreNotSent(t *testing.T) {
 	use := func(model string, rate float64) core.Use { return core.Use{Model: model, Rate: rate} }
 	tests := []struct {
 		name      string
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -8,57 +8,57 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file keeps routers of a large fleet informed without a word from each loader to each
-// router each second.
+// This file keeps the routers of a large fleet informed without a message from each loader
+// to each router every second.
 //
-// It answers this pattern: 600 loaders tell 385 routers each second that they are alive,
-// 231,000 messages, most of them before the first caller comes; each router and each loader
-// spends a quarter of its processor on them, and words on counts, bounded to what a loader
-// can send, are three seconds old. Of all these words a router with two requests a second
-// uses a few.
+// 600 loaders that report to 385 routers each second that they are alive send 231,000
+// messages, most of them before the first caller arrives. Each router and each loader
+// spends a quarter of its processor on them, and reports of counts, limited to what a
+// loader can send, are three seconds old. A router with two requests a second uses only a
+// few of these messages.
 //
-// The coordinator hears all loaders that follow it. Four times a second it tells the others
-// which of them are silent and whose counts have changed, by way of a few loaders, each of
-// which passes it on to a part of the routers. A router hears a loader itself where
-// something waits or runs there. Nothing depends on the coordinator alone: where no digests
-// come, a router asks the loaders for their own words.
+// The coordinator receives the reports of all loaders that follow it. Four times a second
+// it sends the other routers a digest of the loaders that are silent and of the counts that
+// have changed. A few loaders relay the digest, each to a part of the routers. A loader
+// reports to a router directly if something waits or runs there. Nothing depends on the
+// coordinator alone: a router that receives no digests asks the loaders for direct reports.
 
 const (
 	// digestInterval is the time between two digests.
 	digestInterval = 250 * time.Millisecond
-	// digestLate is how long no digest may come before a router asks for the loaders' own
-	// words: five in a row were lost. It leaves time to ask (demandInterval) and for the next
-	// heartbeat before the last words lapse (holdingsFresh).
+	// digestLate is how long a router waits for a digest before it asks for direct reports:
+	// five digests in a row were lost. It leaves time to ask (demandInterval) and for the
+	// next heartbeat before the last reports expire (holdingsMaxAge).
 	digestLate = 1250 * time.Millisecond
-	// digestSilent is how long the coordinator may hear nothing of a loader that speaks
-	// each second before it counts as silent.
+	// digestSilent is how long the coordinator may receive nothing from a loader, which
+	// reports every second, before the loader counts as silent.
 	digestSilent = 2 * time.Second
-	// relayPart is how many routers one loader passes a message on to: 2 ms of its time.
+	// relayPart is how many routers one loader relays a message to: 2 ms of its time.
 	relayPart = 100
-	// digestRounds is the number of digests in which all counts come once, changed or
-	// not, for those who missed a change.
+	// digestRounds is the number of digests in which all counts are sent once, changed or
+	// not, for routers that missed a change.
 	digestRounds = 32
 )
 
-// digests is what a router sends and hears of digests.
+// digests is the state of sent and received digests.
 type digests struct {
-	// nextAt is when the next own one is due, sent counts them.
+	// nextAt is when the next own digest is due, sent counts the own digests.
 	nextAt core.Time
 	sent   int
-	// heardAt is when the last one came.
-	heardAt core.Time
-	// direct is set while none come and the loaders are asked for their own words.
+	// receivedAt is when the last digest was received.
+	receivedAt core.Time
+	// direct is set while no digests arrive and the loaders are asked for direct reports.
 	direct bool
 }
 
-// digested is what the coordinator has told of one loader.
+// digested is what the coordinator has sent of one loader.
 type digested struct {
 	counts core.Counts
-	// again is set if it is to be told once more, for those who missed it.
-	again bool
+	// resend is set if the counts are to be sent once more, for routers that missed them.
+	resend bool
 }
 
-// sendDigest tells the other routers of the loaders that follow this one.
+// sendDigest sends the other routers a digest of the loaders that follow this router.
 func (r *Router) sendDigest() {
 	d := &r.digests
 	if r.now < d.nextAt {
@@ -68,13 +68,13 @@
 	digest := core.LoadDigest{From: r.opts.Host, Config: r.ConfigVersion(), Parts: r.Parts()}
 	followers := 0
 	for i, l := range r.sortedLoaders() {
-		if !r.leads(l) {
+		if !r.producesDigestFor(l) {
 			continue
 		}
 		followers++
 		if !l.up || r.now.Sub(l.directAt) > digestSilent {
 			digest.Silent = append(digest.Silent, l.name)
-		} else if r.worthDigesting(l, i) {
+		} else if r.needsDigest(l, i) {
 			digest.Engines = append(digest.Engines, core.EngineCounts{Loader: l.name, Age: r.now.Sub(l.countedAt), Counts: l.holdings.Counts()})
 		}
 	}
@@ -91,75 +91,75 @@
 	}
 }
 
-// Parts is into how many parts all routers are divided where several loaders pass a message
-// on; 1 in all but large fleets.
+// Parts returns the number of parts into which all routers are divided when several loaders
+// relay a message; 1 in all but large fleets.
 func (r *Router) Parts() int { return (r.routers() + relayPart - 1) / relayPart }
 
-// leads tells whether this router makes the digests that tell of a loader.
-func (r *Router) leads(l *loader) bool {
+// producesDigestFor reports whether this router makes the digests that cover a loader.
+func (r *Router) producesDigestFor(l *loader) bool {
 	return l.holdings != nil && l.holdings.Digested && l.holdings.Coordinator == r.opts.Host
 }
 
-// worthDigesting tells whether a loader's counts belong into the next digest: they have
-// changed, changed in the last one, or have their turn.
-func (r *Router) worthDigesting(l *loader, place int) bool {
+// needsDigest reports whether a loader's counts belong in the next digest: they have
+// changed, changed in the last one, or are due in the round.
+func (r *Router) needsDigest(l *loader, place int) bool {
 	counts := l.holdings.Counts()
 	if changed := !counts.About(l.digested.counts); changed || place%digestRounds == r.digests.sent%digestRounds {
-		l.digested = digested{counts: counts, again: changed}
+		l.digested = digested{counts: counts, resend: changed}
 		return true
 	}
-	again := l.digested.again
-	l.digested.again = false
+	again := l.digested.resend
+	l.digested.resend = false
 	return again
 }
 
-// digestHeard takes in the coordinator's word on the loaders that follow it.
-func (r *Router) digestHeard(digest core.LoadDigest) {
+// digestReceived applies the coordinator's digest of the loaders that follow it.
+func (r *Router) digestReceived(digest core.LoadDigest) {
 	if digest.From == r.opts.Host {
 		return
 	}
-	r.digests.heardAt = r.now
+	r.digests.receivedAt = r.now
 	silent := make(map[core.HostID]bool, len(digest.Silent))
 	for _, name := range digest.Silent {
 		silent[name] = true
 	}
 	for _, l := range r.sortedLoaders() {
 		if l.holdings != nil && l.holdings.Digested && l.holdings.Coordinator == digest.From && !silent[l.name] {
-			l.heardAt = r.now
+			l.lastMessageAt = r.now
 		}
 	}
 	for _, e := range digest.Engines {
 		if l := r.loaders[e.Loader]; l != nil && l.holdings != nil {
-			r.takeCounts(l, e.Counts, r.now.Add(-e.Age))
+			r.applyCounts(l, e.Counts, r.now.Add(-e.Age))
 		}
 	}
 }
 
-// checkDigests notes whether digests come.
+// checkDigests checks whether digests arrive.
 func (r *Router) checkDigests() {
 	d := &r.digests
-	switch late := r.now.Sub(d.heardAt) > digestLate; {
+	switch late := r.now.Sub(d.receivedAt) > digestLate; {
 	case late == d.direct:
-	case late && !slices.ContainsFunc(r.sortedLoaders(), r.byDigest):
-		d.heardAt = r.now // none are due
+	case late && !slices.ContainsFunc(r.sortedLoaders(), r.coveredByDigest):
+		d.receivedAt = r.now // no digests are due
 	default:
 		d.direct = late
-		r.log(StateChange, "digests of loads", slog.Bool("come", !late), slog.String("last", r.now.Sub(d.heardAt).String()))
+		r.log(StateChange, "digests of loads", slog.Bool("come", !late), slog.String("last", r.now.Sub(d.receivedAt).String()))
 	}
 }
 
-// byDigest tells whether steady times of a loader are told to this router by digests.
-func (r *Router) byDigest(l *loader) bool {
+// coveredByDigest reports whether this router receives a loader's steady state by digests.
+func (r *Router) coveredByDigest(l *loader) bool {
 	return l.up && l.holdings != nil && l.holdings.Digested && l.holdings.Coordinator != r.opts.Host
 }
 
-// awaitedSince is since when a loader is to speak to this router itself at least each
-// second, Never if it need not.
-func (r *Router) awaitedSince(l *loader) core.Time {
+// directExpectedSince returns since when a loader must send this router direct reports at
+// least each second, Never if it need not.
+func (r *Router) directExpectedSince(l *loader) core.Time {
 	switch {
-	case !r.byDigest(l):
+	case !r.coveredByDigest(l):
 		return 0
-	case l.told.Expects():
+	case l.lastDemand.Expects():
 		return l.expectedSince
 	default:
 		return core.Never
--- a/internal/router/digest_test.go
+++ b/internal/router/digest_test.go
@@ -10,22 +10,22 @@
 	loaderside "nutmeglane.example/nutmeglane/internal/loader"
 )
 
-// largeFleet is routers and loaders in virtual time, each connected to each. A message takes
-// messageTime.
+// largeFleet simulates routers and loaders in virtual time, each router connected to each
+// loader. A message takes messageTime.
 type largeFleet struct {
-	t       *testing.T
-	now     core.Time
-	routers map[core.HostID]*Router
-	loaders map[core.HostID]*loaderside.Loader
-	names   []core.HostID
-	hosts   []core.HostID
-	engine  fleet.Report
-	coming  []delivery
-	// frozen processes neither act nor take messages, and cut connections lose them.
+	t        *testing.T
+	now      core.Time
+	routers  map[core.HostID]*Router
+	loaders  map[core.HostID]*loaderside.Loader
+	names    []core.HostID
+	hosts    []core.HostID
+	engine   fleet.Report
+	inFlight []delivery
+	// frozen processes neither act nor receive messages, and cut connections lose them.
 	frozen map[core.HostID]bool
 	cut    map[[2]core.HostID]bool
-	// words counts the words of loaders to routers, dials the dials after the start.
-	words, dials int
+	// reports counts the reports of loaders to routers, dials the dials after the start.
+	reports, dials int
 }
 
 type delivery struct {
@@ -42,7 +42,7 @@
 		frozen: map[core.HostID]bool{}, cut: map[[2]core.HostID]bool{},
 		engine: fleet.Report{Models: []fleet.LoadedModel{{Name: "m0"}}, Running: 3, OnDisk: []string{"m1"}},
 	}
-	w := &world{}
+	w := &fixture{}
 	backends := map[string]fleet.Backend{}
 	for i := range engines {
 		b := w.server(engineService, i)
@@ -58,12 +58,12 @@
 		f.router(name, BackendsRead{Backends: backends})
 	}
 	f.run(5 * time.Second)
-	f.words, f.dials = 0, 0
+	f.reports, f.dials = 0, 0
 	return f
 }
 
 func (f *largeFleet) send(from, to core.HostID, message core.Message) {
-	f.coming = append(f.coming, delivery{f.now.Add(messageTime), from, to, message})
+	f.inFlight = append(f.inFlight, delivery{f.now.Add(messageTime), from, to, message})
 }
 
 func (f *largeFleet) router(name core.HostID, event Event) {
@@ -87,12 +87,12 @@
 		switch e := effect.(type) {
 		case loaderside.Tell:
 			for _, to := range e.Routers {
-				f.words++
+				f.reports++
 				f.send(name, to, e.Holdings)
 			}
 		case loaderside.TellCounts:
 			for _, to := range e.Routers {
-				f.words++
+				f.reports++
 				f.send(name, to, e.Counts)
 			}
 		case loaderside.PassOn:
@@ -107,7 +107,7 @@
 	}
 }
 
-// connected tells a process that a connection is up.
+// connected reports to a process that a connection is up.
 type connected struct{ core.Message }
 
 func (f *largeFleet) deliver(d delivery) {
@@ -146,9 +146,9 @@
 func (f *largeFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now < end; {
 		f.now = f.now.Add(messageTime)
-		for len(f.coming) > 0 && f.coming[0].due <= f.now {
-			d := f.coming[0]
-			f.coming = f.coming[1:]
+		for len(f.inFlight) > 0 && f.inFlight[0].due <= f.now {
+			d := f.inFlight[0]
+			f.inFlight = f.inFlight[1:]
 			f.deliver(d)
 		}
 		if f.now%core.Time(tickInterval) == 0 {
@@ -170,12 +170,13 @@
 	}
 }
 
-// coordinator is the router that the loaders follow.
+// coordinator returns the router that the loaders follow.
 func (f *largeFleet) coordinator() core.HostID {
 	return f.routers[f.names[len(f.names)-1]].loaders[f.hosts[0]].holdings.Coordinator
 }
 
-// unknown counts the pairs of a router and an engine of which the router has no fresh word.
+// unknown counts the pairs of a router and an engine of which the router has no recent
+// report.
 func (f *largeFleet) unknown() int {
 	unknown := 0
 	for _, name := range f.names {
@@ -197,29 +198,29 @@
 	fewEngines  = 12
 )
 
-// Guards against words that grow with the product of routers and engines while nothing
-// changes, and against routers that know less for it.
-func TestDigestsTakeThePlaceOfHeartbeats(t *testing.T) {
+// Guards against reports that grow with the product of routers and engines while nothing
+// changes, and against routers that have less information as a result.
+func TestDigestsReplaceHeartbeats(t *testing.T) {
 	f := newLargeFleet(t, manyRouters, fewEngines)
 	const seconds = 8
 	f.run(seconds * time.Second)
-	if perSecond := f.words / seconds; perSecond > 3*fewEngines {
-		t.Errorf("%d words a second from %d loaders", perSecond, fewEngines)
+	if perSecond := f.reports / seconds; perSecond > 3*fewEngines {
+		t.Errorf("%d reports a second from %d loaders", perSecond, fewEngines)
 	}
 	if n := f.unknown(); n > 0 || f.dials > 0 {
 		t.Errorf("%d engines unknown somewhere, %d dials", n, f.dials)
 	}
 }
 
-// Guards against counts that are seconds old in a large fleet: all routers see within half a
-// second that an engine has filled up.
-func TestDigestsTellOfCounts(t *testing.T) {
+// Guards against counts that are seconds old in a large fleet: all routers must receive
+// within half a second that an engine has filled up.
+func TestDigestsDeliverCounts(t *testing.T) {
 	f := newLargeFleet(t, manyRouters, fewEngines)
 	f.engine.Running = 40
 	f.run(busyReadTime + 2*digestInterval + 4*messageTime)
 	for _, name := range f.names {
 		if got := f.routers[name].loaders[f.hosts[3]].holdings.Running; got != 40 {
-			t.Fatalf("%s knows of %d requests", name, got)
+			t.Fatalf("%s has a count of %d requests", name, got)
 		}
 	}
 }
@@ -227,9 +228,9 @@
 // busyReadTime is how often a loader reads its engine's report under load.
 const busyReadTime = 100 * time.Millisecond
 
-// Guards against a fleet that knows nothing of its engines because the router that tells of
-// them is frozen, with its connections open.
-func TestFrozenCoordinatorBlindsNobody(t *testing.T) {
+// Guards against a fleet without information on its engines because the router that sends
+// the digests is frozen, with its connections open.
+func TestFrozenCoordinatorIsReplacedByDirectReports(t *testing.T) {
 	f := newLargeFleet(t, manyRouters, fewEngines)
 	frozen := f.coordinator()
 	f.frozen[frozen] = true
@@ -240,27 +241,27 @@
 		}
 	}
 	f.frozen[frozen] = false
-	f.run(10 * time.Second) // the loaders follow it again when it has been back for long
-	f.words = 0
+	f.run(10 * time.Second) // the loaders follow it again once it has been back for some time
+	f.reports = 0
 	f.run(2 * time.Second)
-	if f.words > 2*3*fewEngines {
-		t.Errorf("%d words in 2 s after the coordinator is back", f.words)
+	if f.reports > 2*3*fewEngines {
+		t.Errorf("%d reports in 2 s after the coordinator is back", f.reports)
 	}
 }
 
-// Guards against an engine that is taken for alive by digests that do not cover it: its
-// loader is frozen.
-func TestSilentLoaderIsNotTakenForAlive(t *testing.T) {
+// Guards against an engine that is considered alive because of digests that do not cover
+// it: its loader is frozen.
+func TestSilentLoaderIsNotConsideredAlive(t *testing.T) {
 	f := newLargeFleet(t, manyRouters, fewEngines)
 	f.frozen[f.hosts[5]] = true
-	f.run(digestSilent + holdingsFresh + 2*digestInterval)
+	f.run(digestSilent + holdingsMaxAge + 2*digestInterval)
 	if n := f.unknown(); n != manyRouters {
-		t.Errorf("%d routers lack the word of a frozen loader, want %d", n, manyRouters)
+		t.Errorf("%d routers lack a report of a frozen loader, want %d", n, manyRouters)
 	}
 }
 
-// Guards against a request that waits at a loader that never hears of it: the connection
-// lost one direction, while digests say that the loader lives.
+// Guards against a request that waits at a loader that never receives it: the connection
+// lost one direction, while digests report that the loader is alive.
 func TestSilentConnectionIsDialledAgainWhereSomethingWaits(t *testing.T) {
 	f := newLargeFleet(t, manyRouters, fewEngines)
 	name := f.names[70]
@@ -271,9 +272,9 @@
 	}
 	f.router(name, Arrived{Key: 1, Request: fleet.Request{ID: "r", Host: callersHost, Path: "/patient/x", Prompt: prompt("m1")}})
 	for host, l := range f.routers[name].loaders {
-		f.cut[[2]core.HostID{host, name}] = len(l.told.Wants) > 0
+		f.cut[[2]core.HostID{host, name}] = len(l.lastDemand.Wants) > 0
 	}
-	f.run(holdingsFresh + 2*demandInterval)
+	f.run(holdingsMaxAge + 2*demandInterval)
 	if f.dials == 0 {
 		t.Error("the loader is not dialled again")
 	}
--- a/internal/router/dump.go
+++ b/internal/router/dump.go
@@ -10,19 +10,19 @@
 	"nutmeglane.example/nutmeglane/internal/quota"
 )
 
-// State is the dump of a router.
+// State is the dump of a router for operators.
 type State struct {
-	// Version of the configuration in force, 0 without one.
+	// Version is the version of the configuration in force, 0 without one.
 	Version  int64
 	Ready    bool
 	Backends []BackendState
 	Waits    []WaitState
 	Requests int
-	// Accounts are the client accounts with a bound, QuotaShare this router's share of all
-	// bounds.
+	// Accounts are the client accounts with a quota, QuotaShare is this router's share of
+	// all quotas.
 	Accounts   []quota.State
 	QuotaShare quota.ShareState
-	// Suspects are the requests under which two servers or more ended.
+	// Suspects are the requests on which two servers or more ended.
 	Suspects []poison.Entry
 }
 
@@ -32,12 +32,14 @@
 	Zone                       core.Zone
 	Listed, Draining, LeftOut  bool
 	Requests                   int
-	// Latency is a plain service's, Ahead the predicted wait at an engine.
+	// Latency is the average latency of a plain service, Ahead the predicted queueing time
+	// at an engine.
 	Latency, Ahead time.Duration
 	Pace           float64
 	Failing        float64
-	// LimitPerSecond are the requests that it takes from all routers together, nil if it
-	// names no limit; LimitKnownFor is for how long that has been known here.
+	// LimitPerSecond is the number of requests per second that the server takes from all
+	// routers together, nil if it names no limit. LimitKnownFor is for how long this router
+	// has known it.
 	LimitPerSecond *float64
 	LimitKnownFor  time.Duration
 	Holdings       *core.Holdings
@@ -49,7 +51,7 @@
 	Requests                      int
 }
 
-// Dump returns the state between two steps.
+// Dump returns the router's state. It must not be called during a step.
 func (r *Router) Dump() State {
 	state := State{Version: r.ConfigVersion(), Ready: r.Ready(), Requests: len(r.requests), Accounts: r.gate.Dump(r.now), QuotaShare: r.gate.Share(), Suspects: r.ledger.Dump(r.now)}
 	for _, instance := range slices.Sorted(maps.Keys(r.backends)) {
@@ -58,7 +60,7 @@
 		state.Backends = append(state.Backends, BackendState{
 			Instance: instance, Service: b.Service, Address: b.Address, Zone: b.Zone,
 			Listed: b.unlistedAt == 0, Draining: r.draining(b), LeftOut: r.now < b.ejectedUntil,
-			Requests: len(b.sent), Latency: b.latency, Ahead: b.queue.Ahead(r.now), Pace: b.pace, Failing: b.failing, Holdings: r.holdings(b),
+			Requests: len(b.sent), Latency: b.latency, Ahead: b.queue.Ahead(r.now), Pace: b.pace, Failing: b.failureRate, Holdings: r.holdings(b),
 			LimitPerSecond: perSecond, LimitKnownFor: knownFor,
 		})
 	}
@@ -73,7 +75,7 @@
 	return state
 }
 
-// limitState is a server's limit and for how long it has been known; nil without one.
+// limitState returns a server's limit and for how long it has been known, nil without one.
 func (r *Router) limitState(b *backend) (perSecond *float64, knownFor time.Duration) {
 	limit, named := b.limit.gate.Limit()
 	if !named {
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -11,56 +11,56 @@
 // Effect is an output of the reducer.
 type Effect interface{ effect() }
 
-// Send sends a request to a backend server, from the event on that was passed
-// on last. AttemptFailed, Answered or CallerLeft follows.
+// Send sends a request to a backend server. A stream continues after the last event that
+// was forwarded. AttemptFailed, Answered or CallerLeft follows.
 type Send struct {
 	Key     Key
 	Attempt int
-	// Instance and Address of the server.
+	// Instance and Address identify the server.
 	Instance string
 	Address  string
 	// MaxConns is this router's share of the server's connections.
 	MaxConns int
 	// Until is when the attempt ends at the latest.
 	Until core.Time
-	// Priority is 0 to 9, 0 first.
+	// Priority is 0 to 9, 0 highest.
 	Priority int
-	// StallAfter, if not 0, is the pause after which Stalled is told.
+	// StallAfter, if not 0, is the pause after which Stalled is reported.
 	StallAfter time.Duration
-	// Account is the client account that the server is told, "" if none.
+	// Account is the client account that is passed to the server, "" if none.
 	Account string
-	// HideCredentials keeps the caller's credentials from the server.
+	// HideCredentials removes the caller's credentials from the request.
 	HideCredentials bool
 }
 
-// Forward passes the answer of the attempt on.
+// Forward passes the answer of the attempt on to the caller.
 type Forward struct {
 	Key     Key
 	Attempt int
 }
 
-// Finish ends a request with an answer of our own. If a part of another answer
-// was passed on, that is cut visibly instead.
+// Finish ends a request with an answer of the router itself. If part of another answer was
+// already forwarded, that answer is cut off visibly instead.
 type Finish struct {
 	Key  Key
 	Code code.Code
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 	// Reason is for the caller and the log.
 	Reason string
 }
 
-// Abandon closes the connection of an attempt, so that the server stops.
+// Abandon closes the connection of an attempt, so that the server stops processing it.
 type Abandon struct {
 	Key     Key
 	Attempt int
 }
 
-// Reconnect closes the idle connections to a server, which lead to a life of it
-// that is over.
+// Reconnect closes the idle connections to an address, which belong to a server incarnation
+// that has ended.
 type Reconnect struct{ Address string }
 
-// Dial asks for a connection to a loader; Hangup ends it.
+// Dial opens a connection to a loader, Hangup closes it.
 type (
 	Dial struct {
 		Loader  core.HostID
@@ -69,24 +69,24 @@
 	Hangup struct{ Loader core.HostID }
 )
 
-// SendDemand sends a message to a loader.
+// SendDemand sends a Demand to a loader.
 type SendDemand struct {
 	Loader core.HostID
 	Demand core.Demand
 }
 
-// Wake asks for a Tick in place of the one asked for before.
+// Wake schedules a Tick. It replaces the one scheduled before.
 type Wake struct{ At core.Time }
 
-// Subject tells what a log line is about.
+// Subject classifies log lines by what they are about.
 type Subject uint8
 
-// The subjects. When lines come faster than they are written, those about
-// single requests are dropped first.
+// The subjects. When lines are produced faster than they are written, those about single
+// requests are dropped first.
 const (
-	// StateChange lines tell of a change of what the router believes.
+	// StateChange lines report a change of the router's state.
 	StateChange Subject = iota
-	// SingleRequest lines tell of a decision on a request.
+	// SingleRequest lines report a decision on a request.
 	SingleRequest
 )
 
@@ -103,19 +103,19 @@
 	Observe struct{ core.Observe }
 )
 
-// RelayPoison has loaders pass news of poison requests on to all other routers.
+// RelayPoison makes loaders relay news of poison requests to all other routers.
 type RelayPoison struct {
 	Via  []core.HostID
 	News core.PoisonNews
 }
 
-// RelayDigest has a loader pass a digest on to a part of the other routers.
+// RelayDigest makes a loader relay a digest to a part of the other routers.
 type RelayDigest struct {
 	Loader core.HostID
 	Digest core.LoadDigest
 }
 
-// AskConfig asks loaders for a configuration above a version. ConfigRead follows, if any
+// AskConfig asks loaders for a configuration above a version. ConfigRead follows if any
 // router has one.
 type AskConfig struct {
 	Loaders []core.HostID
@@ -128,21 +128,22 @@
 	Ask    core.QuotaAsk
 }
 
-// AskLimit tells the loader that counts what is known of a server's limit, and asks it for a
-// permit. LoaderAnsweredLimit follows if it was asked.
+// AskLimit sends what is known of a server's limit to the loader that counts the requests
+// for it, and may ask that loader for a permit. LoaderAnsweredLimit follows if a permit was
+// asked for.
 type AskLimit struct {
 	Loader core.HostID
 	Ask    core.LimitAsk
 }
 
-// Publish keeps news of poison requests in the platform's store under a name, in place
-// of what was there.
+// Publish writes news of poison requests to the platform's store under a name, replacing
+// what is stored there.
 type Publish struct {
 	Name string
 	News core.PoisonNews
 }
 
-// ReadStore asks for a read of the platform's store soon. ConfigConfirmed follows, or
+// ReadStore requests a read of the platform's store soon. ConfigConfirmed follows, or
 // StoreState.
 type ReadStore struct{}
 
--- a/internal/router/world_test.go
+++ b/internal/router/fixture_test.go
@@ -9,9 +9,9 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// world drives a router in virtual time and keeps what it decided. Engines are
-// held up by hand: a test says what their loaders tell.
-type world struct {
+// fixture drives a router in virtual time and records its effects. Engines are simulated by
+// the test, which supplies the reports of their loaders.
+type fixture struct {
 	t      testing.TB
 	router *Router
 	now    core.Time
@@ -22,15 +22,15 @@
 	demands  map[core.HostID]core.Demand
 	abandons map[Key]int
 	logs     []Log
-	// told and published are what was told of poison requests.
-	told      []RelayPoison
+	// relayed and published are the news of poison requests that were sent.
+	relayed   []RelayPoison
 	published []Publish
-	// looks counts the looks into the store that were asked for.
-	looks int
-	// limitAsks are the words and questions on servers' limits.
+	// storeReads counts the reads of the store that were requested.
+	storeReads int
+	// limitAsks are the messages and questions on servers' limits.
 	limitAsks []AskLimit
-	// asked are the questions for a configuration.
-	asked []AskConfig
+	// configAsks are the questions for a configuration.
+	configAsks []AskConfig
 	// quotaAsks are the questions for tokens of client accounts.
 	quotaAsks []AskQuota
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-func newWorld(t testing.TB) *world {
-	w := &world{
+func newFixture(t testing.TB) *fixture {
+	w := &fixture{
 		t: t, now: core.Time(time.Hour),
 		router: New(Options{Host: "10.0.0.1", Zone: "a", LoaderPort: 7000, Bounds: testBounds(), Seed: 1}),
 		sends:  map[Key][]Send{}, finishes: map[Key]Finish{}, demands: map[core.HostID]core.Demand{}, abandons: map[Key]int{},
@@ -95,7 +95,7 @@
 	return w
 }
 
-func (w *world) step(event Event) {
+func (w *fixture) step(event Event) {
 	w.t.Helper()
 	for _, effect := range w.router.Step(w.now, event) {
 		switch e := effect.(type) {
@@ -111,25 +111,25 @@
 		case Abandon:
 			w.abandons[e.Key] = e.Attempt
 		case RelayPoison:
-			w.told = append(w.told, e)
+			w.relayed = append(w.relayed, e)
 		case Publish:
 			w.published = append(w.published, e)
 		case AskLimit:
 			w.limitAsks = append(w.limitAsks, e)
 		case AskConfig:
-			w.asked = append(w.asked, e)
+			w.configAsks = append(w.configAsks, e)
 		case AskQuota:
 			w.quotaAsks = append(w.quotaAsks, e)
 		case ReadStore:
-			w.looks++
+			w.storeReads++
 		case Log:
 			w.logs = append(w.logs, e)
 		}
 	}
 }
 
-// run lets time pass in ticks.
-func (w *world) run(d time.Duration) {
+// run advances the time in ticks.
+func (w *fixture) run(d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(tickInterval)
@@ -137,8 +137,9 @@
 	}
 }
 
-// servers registers n servers of a service, "s0" and so on at 10.1.0.1 and on.
-func (w *world) servers(service string, n int) {
+// servers registers n servers of a service, named s0 and so on, at 10.1.0.1 and following
+// addresses.
+func (w *fixture) servers(service string, n int) {
 	w.t.Helper()
 	list := map[string]fleet.Backend{}
 	for i := range n {
@@ -147,7 +148,7 @@
 	w.step(BackendsRead{Backends: list})
 }
 
-func (w *world) server(service string, i int) fleet.Backend {
+func (w *fixture) server(service string, i int) fleet.Backend {
 	slots := 6
 	if service == engineService {
 		slots = 64
@@ -160,8 +161,8 @@
 
 func loaderName(i int) core.HostID { return core.HostID(fmt.Sprintf("10.1.%d.%d", i/200, i%200+1)) }
 
-// holds connects the loader of an engine and lets it tell its holdings.
-func (w *world) holds(i int, holdings core.Holdings) {
+// reportHoldings connects the loader of an engine and delivers its holdings.
+func (w *fixture) reportHoldings(i int, holdings core.Holdings) {
 	w.t.Helper()
 	if l := w.router.loaders[loaderName(i)]; l == nil || !l.up {
 		w.step(LoaderUp{Loader: loaderName(i)})
@@ -178,8 +179,8 @@
 	return models
 }
 
-// call lets a request arrive and returns its key.
-func (w *world) call(routeName string, prompt *fleet.Prompt) Key {
+// call delivers a request and returns its key.
+func (w *fixture) call(routeName string, prompt *fleet.Prompt) Key {
 	w.t.Helper()
 	w.nextID++
 	key := Key(w.nextID)
@@ -193,7 +194,7 @@
 	return &fleet.Prompt{Model: model, Tokens: 600, MaxNewTokens: 70}
 }
 
-func (w *world) lastSend(key Key) Send {
+func (w *fixture) lastSend(key Key) Send {
 	w.t.Helper()
 	sends := w.sends[key]
 	if len(sends) == 0 {
--- a/internal/router/forecast.go
+++ b/internal/router/forecast.go
@@ -6,33 +6,35 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file predicts when an engine would make the first event of a generation.
-// Where it goes, where its model is loaded and whether it is taken from an engine
-// follow from that.
+// This file predicts when an engine would make the first event of a generation. The
+// predictions decide where a generation is sent, where its model is loaded and whether it
+// is moved away from an engine.
 
 const (
-	// paceUp and paceDown move an engine's pace with each first event that came
-	// late or in time by more than paceLate says; in a third of the answers other
-	// routers' prompts make one late, which the two balance. slowest bounds it.
+	// paceUp and paceDown adjust an engine's pace after each first event: up if it took
+	// more than paceLate times as long as predicted, down otherwise. In a third of the
+	// answers prompts of other routers make one late, which the two factors balance.
+	// slowest bounds the pace.
 	paceUp, paceDown = 1.15, 0.93
 	paceLate         = 1.4
 	slowest          = 8.0
-	// paceReading is the least reading that tells the pace; less drowns in what
-	// the base varies.
+	// paceReading is the minimum reading time from which the pace is adjusted; shorter ones
+	// are dominated by the variation of the base latency.
 	paceReading = 20 * time.Millisecond
-	// sharedChance is the chance that the engine where the prompts with the same
-	// shared parts gather has them cached although this router did not send them
-	// there. Five routers with equal parts of the callers would make it 0.8 in a
-	// steady state; after changes it is lower.
+	// sharedChance is the probability that the engine that prompts with the same shared
+	// parts are directed to has these parts cached although this router did not send them
+	// there. Five routers with equal shares of the callers would make it 0.8 in a steady
+	// state; after changes it is lower.
 	sharedChance = 0.5
 )
 
-// forecast is what is predicted for a request at an engine.
+// forecast is the prediction for a generation at an engine.
 type forecast struct {
-	// unread is the number of tokens that have to be read, reading its time.
+	// unread is the number of tokens that have to be read, reading the time that this
+	// takes.
 	unread  int
 	reading time.Duration
-	// ahead is how long it waits for others' prompts.
+	// ahead is how long it waits for other prompts and for a slot.
 	ahead time.Duration
 	// first is the time to the first event.
 	first time.Duration
@@ -49,25 +51,25 @@
 	return f
 }
 
-// othersAhead predicts how long the prompts that other routers sent to an engine
-// take to be read.
+// othersAhead predicts how long reading takes for the prompts that other routers sent to an
+// engine.
 //
-// It guards against a herd, as outstanding does: the engine's count is some 200 ms
-// old, and all routers would send to the one that was free then. So what a router
-// has sent there itself counts for the others too, as a part of the estimate.
+// Like outstanding, it guards against herding: the engine's count is some 200 ms old, and
+// all routers would send to the engine that was free then. Therefore a part of the estimate
+// assumes that the other routers have sent as much as this one.
 func (r *Router) othersAhead(b *backend) time.Duration {
 	own := b.queue.Len()
-	told := 0
-	if held := r.holdings(b); held != nil && r.now.Sub(b.loader.countedAt) < unreadFresh {
-		told = max(0, held.Unread-b.loader.ownUnread)
+	reported := 0
+	if held := r.holdings(b); held != nil && r.now.Sub(b.loader.countedAt) < unreadMaxAge {
+		reported = max(0, held.Unread-b.loader.ownUnread)
 	}
-	estimate := max(float64(told), r.blend(float64(told), float64(own*(r.routers()-1))))
+	estimate := max(float64(reported), r.blend(float64(reported), float64(own*(r.routers()-1))))
 	return time.Duration(estimate * float64(r.service(b.Service).meanReading))
 }
 
-// unreadFresh is how long an engine's count of unread prompts says something: by
-// then all that waited has usually been read.
-const unreadFresh = 500 * time.Millisecond
+// unreadMaxAge is the age up to which an engine's count of unread prompts is used: by then
+// all that waited has usually been read.
+const unreadMaxAge = 500 * time.Millisecond
 
 // slotWait predicts how long a generation waits for a slot.
 func (r *Router) slotWait(b *backend, model string) time.Duration {
@@ -75,18 +77,18 @@
 	if b.Slots <= 0 || over <= 0 {
 		return 0
 	}
-	answer := r.service(b.Service).speed.undisturbed(model)
+	answer := r.service(b.Service).speed.unloadedTime(model)
 	return time.Duration(float64(over) / float64(b.Slots) * float64(answer))
 }
 
-// promptSent notes that a generation was sent to an engine.
+// promptSent records that a generation was sent to an engine.
 func (r *Router) promptSent(req *request) {
 	b, f := req.backend, req.attempt.forecast
 	b.queue.Send(r.now, uint64(req.key), f.reading, f.first)
 	b.cache.Read(req.prefix)
 }
 
-// promptBegan learns from a generation's first event.
+// promptBegan updates the speed and pace estimates at a generation's first event.
 func (r *Router) promptBegan(req *request, took time.Duration) {
 	b, f := req.backend, req.attempt.forecast
 	b.queue.Began(r.now, uint64(req.key))
@@ -106,8 +108,8 @@
 	}
 }
 
-// affinityGain is what is expected to be saved at the engine where prompts with
-// the same shared parts gather.
+// affinityGain is the reading time expected to be saved at the engine that prompts with the
+// same shared parts are directed to.
 func (r *Router) affinityGain(b *backend, p *fleet.Prompt, f forecast) time.Duration {
 	shared := p.SharedTokens() - (p.Tokens - f.unread)
 	if shared <= 0 {
--- a/internal/router/forecast_test.go
+++ b/internal/router/forecast_test.go
@@ -22,9 +22,8 @@
 	}}
 }
 
-// answer makes the first event of a generation's current attempt come, and its
-// end with it.
-func (w *world) answer(key Key) {
+// answer delivers the first event of a generation's current attempt, and its end.
+func (w *fixture) answer(key Key) {
 	w.t.Helper()
 	attempt := w.lastSend(key).Attempt
 	w.step(Answered{Key: key, Attempt: attempt, Answer: fleet.Answer{Status: 200}})
@@ -32,9 +31,9 @@
 	w.step(Done{Key: key, Attempt: attempt, Events: 10, Pause: 20 * time.Millisecond})
 }
 
-// teach lets engines answer some prompts of known time, so that their speed is
+// trainSpeed makes engines answer some prompts in a known time, so that their speed is
 // known: 26 us a token.
-func (w *world) teach(model string, hold func()) {
+func (w *fixture) trainSpeed(model string, hold func()) {
 	w.t.Helper()
 	for i := range 12 {
 		hold()
@@ -46,13 +45,13 @@
 	hold()
 }
 
-// Callers with long and with short prompts share two engines. Counted as
-// requests, three long prompts at one engine look like three short ones at the
-// other: further callers wait 0.7 s behind the long ones. Work is counted instead.
+// Callers with long and with short prompts share two engines. Counted as requests, three
+// long prompts at one engine look like three short ones at the other: further callers wait
+// 0.7 s behind the long ones. The reading time must count instead.
 func TestShortPromptsAvoidLongOnes(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
-	w.teach("m1", func() { w.tellUnread(0) })
+	w.trainSpeed("m1", func() { w.reportUnread(0) })
 	busy := w.lastSend(w.call("patient", longPrompt("m1", 1))).Instance
 	for i := range 5 {
 		if got := w.lastSend(w.call("patient", shortPrompt("m1", i))).Instance; got == busy {
@@ -61,57 +60,58 @@
 	}
 }
 
-// A crowded engine reads prompts one after the other. Taken from it because of
-// time alone, a prompt was read once more elsewhere, and what had been read of it
-// was lost: 516 times in a quiet minute, for a tenth of all reading. While its
-// engine says that it reads, a prompt stays, as long as no other is much faster.
+// A crowded engine reads prompts one after the other. When prompts were moved because of
+// the elapsed time alone, they were read once more elsewhere, and what had been read was
+// lost: 516 times in a minute of low load, for a tenth of all reading. While its engine
+// reports that it reads, a prompt must stay, unless another engine is much faster.
 func TestCrowdedEngineKeepsItsPrompts(t *testing.T) {
-	w, key := worldWithLatePrompt(t, 3)
+	w, key := newLatePromptFixture(t, 3)
 	for range 16 {
-		w.tellUnread(3)
+		w.reportUnread(3)
 		w.run(100 * time.Millisecond)
 	}
 	if n := len(w.sends[key]); n != 1 {
-		t.Fatalf("sent to %d engines, wanted it to stay", n)
+		t.Fatalf("sent to %d engines, want it to stay", n)
 	}
 }
 
-// An engine hangs: it has the request, makes no event and says that it reads
-// nothing. The caller must be served by another one, well before it leaves.
-func TestPromptLeavesAnEngineThatReadsNothing(t *testing.T) {
-	w, key := worldWithLatePrompt(t, 0)
+// An engine hangs: it has the request, makes no event and reports that it reads nothing.
+// Another engine must serve the caller, well before it cancels.
+func TestPromptIsMovedFromAnEngineThatReadsNothing(t *testing.T) {
+	w, key := newLatePromptFixture(t, 0)
 	for range 16 {
-		w.tellUnread(0)
+		w.reportUnread(0)
 		w.run(100 * time.Millisecond)
 	}
 	if n := len(w.sends[key]); n != 2 {
-		t.Fatalf("sent to %d engines, wanted it to move once", n)
+		t.Fatalf("sent to %d engines, want it to move once", n)
 	}
 }
 
-// worldWithLatePrompt has two engines, and a prompt at one of them beside others.
-func worldWithLatePrompt(t *testing.T, unread int) (*world, Key) {
+// newLatePromptFixture returns a router with two engines, and the key of a prompt at one of
+// them beside others.
+func newLatePromptFixture(t *testing.T, unread int) (*fixture, Key) {
 	t.Helper()
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
-	w.teach("m1", func() { w.tellUnread(unread) })
+	w.trainSpeed("m1", func() { w.reportUnread(unread) })
 	return w, w.call("patient", longPrompt("m1", 1))
 }
 
-// tellUnread lets all loaders say how many prompts their engines read.
-func (w *world) tellUnread(unread int) {
+// reportUnread makes all loaders report the number of prompts that their engines read.
+func (w *fixture) reportUnread(unread int) {
 	for i := range 2 {
-		w.holds(i, core.Holdings{Models: loadedModels("m1"), Unread: unread, Running: unread})
+		w.reportHoldings(i, core.Holdings{Models: loadedModels("m1"), Unread: unread, Running: unread})
 	}
 }
 
-// No other engine has the model of a late prompt. Looking for one must not end
-// the process.
+// No other engine has the model of a late prompt. Looking for one must not crash the
+// process.
 func TestLatePromptWithoutAnotherEngineStays(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 1)
-	hold := func() { w.holds(0, core.Holdings{Models: loadedModels("m1")}) }
-	w.teach("m1", hold)
+	hold := func() { w.reportHoldings(0, core.Holdings{Models: loadedModels("m1")}) }
+	w.trainSpeed("m1", hold)
 	key := w.call("patient", longPrompt("m1", 1))
 	for range 15 {
 		hold()
@@ -122,12 +122,12 @@
 	}
 }
 
-// 68 routers share 78 engines. One request of a router's own was taken for a sign
-// that each of the others had one there too: its engine seemed to have 34, more than
-// its slots, and those who waited for a model there were refused although the
-// engine's own word was that nothing ran.
-func TestOwnRequestIsNoSignOfThirtyOthers(t *testing.T) {
-	w := newWorld(t)
+// Guards against extrapolating a single request: 68 routers share 78 engines, and one
+// request of a router's own counted as if each of the others had one there too. Its engine
+// seemed to have 34, more than its slots, and requests that waited for a model there were
+// refused although the engine reported that nothing ran.
+func TestOwnRequestIsNotExtrapolatedToAllRouters(t *testing.T) {
+	w := newFixture(t)
 	w.servers(engineService, 2)
 	hold := func() {
 		for i := range 2 {
--- a/internal/router/home.go
+++ b/internal/router/home.go
@@ -10,22 +10,23 @@
 // This file predicts at which engine a model that is waited for would be ready first.
 
 const (
-	// evictionTime is the least time to make room at an engine: an order, its
-	// answer and a report.
+	// evictionTime is the minimum time to free memory at an engine: an order, its answer
+	// and a report.
 	evictionTime = 50 * time.Millisecond
-	// homeStep is the difference in predicted time below which engines count
-	// as equal, so that the hash decides and copies gather at one engine.
-	homeStep = 100 * time.Millisecond
-	// homeHeat is what a whole engine's load counts when a rare model's home is
-	// chosen. Its request is slowed by a busy model's, and takes memory that a
-	// busy model's copy needs; an engine half busy counts as later by the
-	// time of a load from disk.
-	homeHeat = 2 * time.Second
-	// adapterTime is the time of an adapter's load with the messages around.
+	// etaResolution is the resolution of the predicted time when engines are compared: engines
+	// within the same step count as equal, so that the hash decides and copies of a model
+	// gather at one engine.
+	etaResolution = 100 * time.Millisecond
+	// homeLoadPenalty is the time added to the prediction for a fully utilized engine when
+	// the home of a rare model is chosen. The rare model's request is slowed down by a busy
+	// model's requests and takes memory that a busy model's copy needs. An engine that is
+	// half utilized counts as later by the time of a load from disk.
+	homeLoadPenalty = 2 * time.Second
+	// adapterTime is the time of an adapter's load, including its messages.
 	adapterTime = 50 * time.Millisecond
 )
 
-// canLoad tells whether an engine may be asked to load.
+// canLoad reports whether an engine may be asked to load a model or adapter.
 func (r *Router) canLoad(b *backend, key waitKey) bool {
 	if !r.usable(b) || r.holdings(b) == nil {
 		return false
@@ -37,9 +38,9 @@
 	return hasModel
 }
 
-// bestHome returns the engine where the model would be ready first. Equal ones
-// are told apart by rendezvous hashing, which has the same result at all
-// routers and moves few models when engines come and go.
+// bestHome returns the engine where the model would be ready first, and the predicted time
+// to the first event. Ties are broken by rendezvous hashing, which has the same result at
+// all routers and moves few models when engines are added or removed.
 func (r *Router) bestHome(w *wait) (best *backend, eta time.Duration) {
 	var bestScore uint64
 	key := w.key
@@ -47,7 +48,7 @@
 		if !r.canLoad(b, key) {
 			continue
 		}
-		t := (r.servedIn(b, w) + time.Duration(r.heat(b)*float64(homeHeat))).Round(homeStep)
+		t := (r.firstEventIn(b, w) + time.Duration(r.utilization(b)*float64(homeLoadPenalty))).Round(etaResolution)
 		score := core.Score(key.model+"/"+key.adapter, b.Instance)
 		if best == nil || t < eta || t == eta && score > bestScore {
 			best, eta, bestScore = b, t, score
@@ -56,14 +57,14 @@
 	return best, eta
 }
 
-// servedIn predicts the time until the first event of the first request that
-// waits for an engine to load its model.
-func (r *Router) servedIn(b *backend, w *wait) time.Duration {
-	return r.readyIn(b, w.key) + r.price(w.requests[0], b).cost
+// firstEventIn predicts the time until the first event of the first request that waits for an
+// engine to load its model.
+func (r *Router) firstEventIn(b *backend, w *wait) time.Duration {
+	return r.readyIn(b, w.key) + r.estimateCost(w.requests[0], b).cost
 }
 
-// readyIn predicts when an engine would have loaded what is waited for, and have room for
-// all who wait.
+// readyIn predicts when an engine would have loaded what is waited for and have capacity
+// for all waiting requests.
 func (r *Router) readyIn(b *backend, key waitKey) time.Duration {
 	waiting := 1
 	if w := r.waits[key]; w != nil {
@@ -72,31 +73,32 @@
 	return max(r.loadedIn(b, key), r.roomFor(b, waiting))
 }
 
-// loadedIn predicts when an engine would have loaded it, whatever its limit.
+// loadedIn predicts when an engine would have loaded it, regardless of the engine's request
+// limit.
 func (r *Router) loadedIn(b *backend, key waitKey) time.Duration {
 	held := r.holdings(b)
 	if held == nil {
-		return holdingsFresh
+		return holdingsMaxAge
 	}
-	age := r.now.Sub(b.loader.saidAt)
+	age := r.now.Sub(b.loader.holdingsAt)
 	if key.adapter != "" {
-		return adapterTime + busyFor(held, age)
+		return adapterTime + loadingFor(held, age)
 	}
 	if m := findHeld(held, key.model); m != nil && m.State != core.HoldUnloading {
 		return r.heldReadyIn(b.Service, m, age)
 	}
 	model := r.engine(b.Service).Models[key.model]
 	eta := max(0, held.FreeIn-age) + r.loadTime(b, model)
-	return eta + roomTime(held, model)
+	return eta + makeRoomTime(held, model)
 }
 
-// roomTime predicts how long an engine needs to make room for a model.
+// makeRoomTime predicts how long an engine needs to free memory for a model.
 //
-// It guards against a wait that nobody predicted: where requests run on all that an
-// engine holds, one of its models is retired first, for up to 1.5 s. Engines with the
-// model on disk and room at once stood beside it, and a third of the callers of rare
-// models met their objective by less than that.
-func roomTime(held *core.Holdings, model fleet.Model) time.Duration {
+// Where requests run on all models that an engine holds, one of the models is retired
+// first, for up to 1.5 s. Without this prediction such engines were chosen although others
+// had the model on disk and enough memory, and a third of the callers of rare models met
+// their objective by less than that time.
+func makeRoomTime(held *core.Holdings, model fleet.Model) time.Duration {
 	switch {
 	case held.FreeMB >= model.MemoryMB:
 		return 0
@@ -107,11 +109,11 @@
 	}
 }
 
-// busyFor is how long an engine still loads a model, by a loader's word so old.
-// It takes no order meanwhile, not for an adapter either: requests for adapters of
-// a busy model waited 0.8 s at a copy that loaded another model, beside copies
-// that could have had the adapter in 50 ms.
-func busyFor(held *core.Holdings, age time.Duration) time.Duration {
+// loadingFor is how long an engine is still busy loading a model, according to a report of the
+// given age. Meanwhile the engine takes no order, also none for an adapter: requests for
+// adapters of a busy model waited 0.8 s at a copy that was loading another model, although
+// other copies could have loaded the adapter in 50 ms.
+func loadingFor(held *core.Holdings, age time.Duration) time.Duration {
 	for _, m := range held.Models {
 		if m.State == core.HoldLoading || m.State == core.HoldStoreLoading {
 			return max(0, m.ReadyIn-age)
@@ -120,10 +122,11 @@
 	return 0
 }
 
-// heldReadyIn corrects a loader's prediction for a model on its way, so old, by
-// what only a router sees: how many engines load from the weight store. Without
-// that, a load that shares the store with two others was predicted three times
-// too soon, and its callers waited in vain until they left.
+// heldReadyIn corrects a loader's prediction for a model that is being loaded, as of a
+// report of the given age, for what only a router can see: how many engines load from the
+// weight store. Without the correction, a load that shares the store with two others was
+// predicted to take a third of its time, and its callers waited in vain until they
+// cancelled.
 func (r *Router) heldReadyIn(service string, m *core.HeldModel, age time.Duration) time.Duration {
 	left := max(0, m.ReadyIn-age)
 	switch m.State {
@@ -138,7 +141,8 @@
 	}
 }
 
-// loadTime is the time of a load at an engine, by where the nearest copy lies.
+// loadTime is the time of a load at an engine, depending on where the nearest copy is
+// stored.
 func (r *Router) loadTime(b *backend, model fleet.Model) time.Duration {
 	switch r.tier(b, model.Name) {
 	case nearMemory:
--- a/internal/router/index.go
+++ b/internal/router/index.go
@@ -7,16 +7,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file keeps an index of engines by model. It answers this pattern: 78
-// engines hold five models each and have dozens more on disk, a router asks for
-// each of 240 models who has it, and searched all engines' lists for each answer.
-// The coordinator spent a third of its processor time on that.
+// This file maintains an index of engines by model. With 78 engines that hold five models
+// each and have dozens more on disk, a router looks up the engines of each of 240 models;
+// when it searched the lists of all engines each time, the coordinator spent a third of its
+// processor time on that.
 //
-// The index says where to look, not what is true at the moment: words of loaders
-// grow old, engines drain and are left out. Those who ask check that, as they did
-// on all engines before.
+// The index gives candidates, not the state at the moment: reports of loaders expire,
+// engines drain and are ejected. Callers must check that themselves.
 
-// nearTier tells where the nearest copy of a model lies at an engine.
+// nearTier is where the nearest copy of a model is stored at an engine.
 type nearTier uint8
 
 const (
@@ -25,25 +24,24 @@
 	nearMemory
 )
 
-// modelEngines are the engines that a model was last told of, each list in the
-// order of their instances.
+// modelEngines are the engines last reported to have a model, each list sorted by instance.
 type modelEngines struct {
-	// holders have the model loaded or on its way, by their loader's word or the
-	// registry's.
+	// holders have the model loaded or are loading it, according to their loader or the
+	// registry.
 	holders []*backend
 	// near ones have a copy in host memory or on disk.
 	near []*backend
 }
 
-// indexed is what the index has of one engine.
+// indexed is the content of the index for one engine.
 type indexed struct {
 	holds []string
 	near  map[string]nearTier
-	// from are the lists that near was made of.
+	// inMemory and onDisk are the lists from which near was built.
 	inMemory, onDisk []string
 }
 
-// reindex takes an engine's models anew into the index.
+// reindex updates the index with an engine's models.
 func (r *Router) reindex(b *backend) {
 	s := r.service(b.Service)
 	r.indexHolds(s, b)
@@ -104,7 +102,7 @@
 	b.indexed.near, b.indexed.inMemory, b.indexed.onDisk = near, inMemory, onDisk
 }
 
-// unindex takes an engine out of the index.
+// unindex removes an engine from the index.
 func (r *Router) unindex(b *backend) {
 	s := r.service(b.Service)
 	for _, model := range b.indexed.holds {
@@ -143,7 +141,8 @@
 	return slices.Delete(list, i, i+1)
 }
 
-// tier tells where an engine's nearest copy of a model lies, by its loader's word.
+// tier returns where an engine's nearest copy of a model is stored, according to its
+// loader.
 func (r *Router) tier(b *backend, model string) nearTier {
 	if r.holdings(b) == nil {
 		return nearNone
@@ -151,17 +150,17 @@
 	return b.indexed.near[model]
 }
 
-// near tells whether an engine has a copy of a model on disk or in memory.
+// near reports whether an engine has a copy of a model on disk or in host memory.
 func (r *Router) near(b *backend, model string) bool { return r.tier(b, model) != nearNone }
 
-// holders returns the engines that were last told to have a model, or to have it
-// on its way. The caller must not change the slice.
+// holders returns the engines that were last reported to have a model or to be loading it.
+// The caller must not modify the slice.
 func (r *Router) holders(service, model string) []*backend {
 	return r.service(service).enginesOf(model).holders
 }
 
-// heldAt returns what the loader of an engine says of a model, nil without a fresh
-// word on it.
+// heldAt returns the state of a model that an engine's loader reports, nil without a recent
+// report on it.
 func (r *Router) heldAt(b *backend, model string) *core.HeldModel {
 	held := r.holdings(b)
 	if held == nil {
--- a/internal/router/large_bench_test.go
+++ b/internal/router/large_bench_test.go
@@ -9,26 +9,27 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// The larger deployments: entry hosts there have a seventh of a core, and each
-// hears of every engine four times a second.
+// The size of a large deployment: entry hosts there have a seventh of a core, and each
+// receives a report of every engine four times a second.
 const (
 	largeRouters = 68
 	largeModels  = 240
-	// largeWaits are models that requests wait for while rare ones wake up.
+	// largeWaits is the number of models that requests wait for while rare ones are
+	// requested again.
 	largeWaits = 12
-	// mostBusy models are called, or as many as there are engines: each is loaded
-	// somewhere. Called although nothing has them, they made twelve engines look
-	// dearer than 49.
+	// mostBusy is the number of models that are called, at most one per engine, so that
+	// each is loaded somewhere. Calls of models that no engine has made twelve engines more
+	// expensive than 49.
 	mostBusy = 49
-	// saidPerSecond is how often one loader speaks under load, callsPerSecond
-	// the requests that one router gets.
-	saidPerSecond, callsPerSecond = 2, 8
+	// reportsPerSecond is how often one loader reports under load, callsPerSecond the
+	// number of requests that one router gets.
+	reportsPerSecond, callsPerSecond = 2, 8
 )
 
-// largeWorld is a router that knows so many engines, each with three models
-// loaded and eight on disk, with models that are waited for.
-func largeWorld(b *testing.B, engines int) *world {
-	w := newWorld(b)
+// newLargeFixture returns a router that knows the given number of engines, each with three
+// models loaded and eight on disk, with models that are waited for.
+func newLargeFixture(b *testing.B, engines int) *fixture {
+	w := newFixture(b)
 	config := testConfig()
 	config.Version = 2
 	engine := config.Services[engineService].Engine
@@ -42,7 +43,7 @@
 	w.step(ConfigRead{Config: config})
 	w.servers(engineService, engines)
 	for i := range engines {
-		w.saysLarge(i, engines)
+		w.reportLarge(i, engines)
 	}
 	for i := range 200 {
 		w.call("quick", prompt(fmt.Sprintf("m%d", i%min(mostBusy, engines))))
@@ -53,7 +54,7 @@
 	return w
 }
 
-func (w *world) saysLarge(i, engines int) {
+func (w *fixture) reportLarge(i, engines int) {
 	busy := min(mostBusy, engines)
 	var onDisk []string
 	for j := range 8 {
@@ -69,8 +70,8 @@
 	}})
 }
 
-// BenchmarkLargeSecond is one second of a router beside so many engines: what
-// their loaders say, its callers' requests and its ticks, without sockets.
+// BenchmarkLargeSecond measures one second of a router beside the given number of engines:
+// the reports of their loaders, its callers' requests and its ticks, without sockets.
 func BenchmarkLargeSecond(b *testing.B) {
 	for _, engines := range []int{12, 78, 300, 600, 1200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) { benchSecond(b, engines) })
@@ -78,13 +79,13 @@
 }
 
 func benchSecond(b *testing.B, engines int) {
-	w := largeWorld(b, engines)
+	w := newLargeFixture(b, engines)
 	b.ResetTimer()
 	for range b.N {
-		steps := saidPerSecond * engines
+		steps := reportsPerSecond * engines
 		for i := range steps {
 			w.now = w.now.Add(time.Second / time.Duration(steps))
-			w.saysLarge(i%engines, engines)
+			w.reportLarge(i%engines, engines)
 			if i%(steps/callsPerSecond) == 0 {
 				key := w.call("quick", prompt(fmt.Sprintf("m%d", i%min(mostBusy, engines))))
 				w.step(FirstEvent{Key: key, Attempt: 1})
@@ -94,14 +95,15 @@
 	}
 }
 
-// A router of a large fleet hears of steady engines by digests: of a tenth of them the
-// counts, four times a second. A tenth change what they hold within a second.
+// A router of a large fleet receives the state of steady engines by digests: the counts of
+// a tenth of them, four times a second. A tenth change their holdings within a second.
 const (
 	changesShare         = 10
 	digestedBenchRouters = 385
 )
 
-// BenchmarkDigestedSecond is one second of a router of a large fleet, without sockets.
+// BenchmarkDigestedSecond measures one second of a router of a large fleet, without
+// sockets.
 func BenchmarkDigestedSecond(b *testing.B) {
 	for _, engines := range []int{300, 600, 1200} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) { benchDigestedSecond(b, engines) })
@@ -109,7 +111,7 @@
 }
 
 func benchDigestedSecond(b *testing.B, engines int) {
-	w := largeWorld(b, engines)
+	w := newLargeFixture(b, engines)
 	digest := core.LoadDigest{From: "10.0.0.0", Parts: 4}
 	for i := range engines {
 		l := w.router.loaders[loaderName(i)]
--- a/internal/router/loaders.go
+++ b/internal/router/loaders.go
@@ -13,11 +13,11 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file keeps the connections to the loaders beside engines, and takes their
-// words.
+// This file maintains the connections to the loaders beside engines and processes their
+// reports.
 
-// redialAfter is the pause before a loader is dialled again: below the time of a
-// load, so that a loader that restarts misses one at the most.
+// redialAfter is the pause before a loader is dialled again. It is below the time of a
+// load, so that a loader that restarts misses at most one.
 const redialAfter = 500 * time.Millisecond
 
 // loader is the connection to the loader beside an engine.
@@ -26,48 +26,52 @@
 	address string
 	up      bool
 	dialing bool
-	// nextDial is the earliest next dial.
+	// nextDial is the earliest time of the next dial.
 	nextDial core.Time
 	holdings *core.Holdings
-	// heardAt is when its last word came, saidAt when the last holdings did: the times
-	// in them count from then.
-	heardAt, saidAt core.Time
-	// directAt is when its last word came from itself, or it connected.
+	// lastMessageAt is when the loader was last known to be alive, by a report of its own
+	// or by a digest. holdingsAt is when the last holdings arrived; durations in them count
+	// from then.
+	lastMessageAt, holdingsAt core.Time
+	// directAt is when the loader last sent a report itself, or connected.
 	directAt core.Time
-	// expectedSince is since when it knows that its own words are waited for; counts only
-	// while told expects them.
+	// expectedSince is since when the loader has been asked for direct reports. It is valid
+	// only while lastDemand expects them.
 	expectedSince core.Time
-	// digested is what this router has told the others of its counts.
+	// digested is what this router has sent to the others of the loader's counts.
 	digested digested
-	// countedAt is when the engine's counts came, with the holdings or alone.
+	// countedAt is when the engine's counts were taken, with the holdings or alone.
 	countedAt core.Time
-	// ownThen is how many requests of ours ran there when the holdings came.
-	ownThen int
-	// ownUnread of them had no event yet.
+	// ownRequests is how many of this router's requests ran at the engine when the counts
+	// were taken.
+	ownRequests int
+	// ownUnread is how many of those had no event yet.
 	ownUnread int
-	// specNamed is the hash of the engine's configuration that was named last on this
-	// connection, 0 before. specWanted is set once the loader has asked for it.
-	specNamed  uint64
-	specWanted bool
-	// engines are the backend servers beside it, gone ones included.
+	// specHashSent is the hash of the engine's configuration that was last announced on
+	// this connection, 0 before. specRequested is set once the loader has asked for the
+	// configuration.
+	specHashSent  uint64
+	specRequested bool
+	// engines are the backend servers beside the loader, including unlisted ones.
 	engines []*backend
-	// told is the last Demand, at toldAt; lookedAt is when it was last seen whether
-	// another is due. dirty is set after a change that it must know at once.
-	told             core.Demand
-	toldAt, lookedAt core.Time
-	dirty            bool
-	// storeLoads is the sequence of the last store load seen.
-	storeLoads int
+	// lastDemand is the last Demand, sent at demandSentAt. demandCheckedAt is when it was
+	// last checked whether another is due. dirty is set after a change that the loader must
+	// receive at once.
+	lastDemand                    core.Demand
+	demandSentAt, demandCheckedAt core.Time
+	dirty                         bool
+	// storeLoadSeq is the sequence number of the last store load result that was processed.
+	storeLoadSeq int
 }
 
-// connect makes sure that the loader beside an engine is being dialled.
+// connect assigns an engine to the loader beside it, which checkLoaders dials.
 func (r *Router) connect(b *backend) {
 	if r.engine(b.Service) == nil {
 		return
 	}
 	address, err := netip.ParseAddrPort(b.Address)
 	if err != nil {
-		return // platform.DecodeBackend lets no such entry through
+		return // platform.DecodeBackend rejects such entries
 	}
 	name := core.HostID(address.Addr().String())
 	l := r.loaders[name]
@@ -84,7 +88,7 @@
 	r.reindex(b)
 }
 
-// forget takes a backend server out of all lists.
+// forget removes a backend server from all lists.
 func (r *Router) forget(b *backend) {
 	r.unindex(b)
 	r.dropLimit(b)
@@ -128,8 +132,7 @@
 	}
 }
 
-// sortedLoaders are all loaders in the order of their names. The caller must not
-// change the slice.
+// sortedLoaders returns all loaders sorted by name. The caller must not modify the slice.
 func (r *Router) sortedLoaders() []*loader {
 	if r.loaderList == nil {
 		byName := func(a, b *loader) int { return cmp.Compare(a.name, b.name) }
@@ -139,10 +142,10 @@
 }
 
 func (r *Router) checkLoader(l *loader) {
-	// Guards against a connection that went silent: the loader would seem to
-	// hold what it held minutes ago, and wants would reach nobody. Its
-	// heartbeats stop, so it is dialled anew.
-	if silent := r.now.Sub(max(l.directAt, r.awaitedSince(l))); l.up && silent > holdingsFresh {
+	// Guards against a connection that fails silently: the loader would seem to hold what
+	// it held minutes ago, and wants would not reach it. Its heartbeats stop, so that it is
+	// dialled again.
+	if silent := r.now.Sub(max(l.directAt, r.directExpectedSince(l))); l.up && silent > holdingsMaxAge {
 		r.log(StateChange, "loader is silent; dialling it again", slog.String("loader", string(l.name)),
 			slog.String("silent", silent.String()))
 		r.emit(Hangup{Loader: l.name})
@@ -161,10 +164,10 @@
 		r.emit(Hangup{Loader: name})
 		return
 	}
-	l.up, l.dialing, l.specNamed, l.specWanted, l.dirty, l.heardAt, l.directAt = true, false, 0, false, true, r.now, r.now
-	l.told = core.Demand{}
+	l.up, l.dialing, l.specHashSent, l.specRequested, l.dirty, l.lastMessageAt, l.directAt = true, false, 0, false, true, r.now, r.now
+	l.lastDemand = core.Demand{}
 	r.log(StateChange, "loader connected", slog.String("loader", string(name)))
-	r.tellLimits(l)
+	r.sendLimits(l)
 }
 
 func (r *Router) loaderDown(name core.HostID) {
@@ -179,13 +182,13 @@
 	l.up, l.dialing, l.nextDial = false, false, r.now.Add(redialAfter)
 }
 
-func (r *Router) loaderSaid(name core.HostID, holdings core.Holdings) {
+func (r *Router) loaderReported(name core.HostID, holdings core.Holdings) {
 	l := r.loaders[name]
 	if l == nil {
 		return
 	}
-	if (fleet.Incarnation{Born: holdings.Born}).Compare(l.life()) < 0 {
-		r.log(StateChange, "word on an earlier life of an engine left out", slog.String("loader", string(name)), slog.Int64("born", holdings.Born))
+	if (fleet.Incarnation{Born: holdings.Born}).Compare(l.incarnation()) < 0 {
+		r.log(StateChange, "report on an earlier incarnation of an engine ignored", slog.String("loader", string(name)), slog.Int64("born", holdings.Born))
 		return
 	}
 	if holdings.NearAsBefore && l.holdings != nil {
@@ -194,9 +197,9 @@
 	if b := r.engineAt(l); b != nil {
 		r.recountStoreLoads(b.Service, l.holdings, &holdings)
 	}
-	l.holdings, l.heardAt, l.saidAt, l.countedAt, l.directAt = &holdings, r.now, r.now, r.now, r.now
+	l.holdings, l.lastMessageAt, l.holdingsAt, l.countedAt, l.directAt = &holdings, r.now, r.now, r.now, r.now
 	for _, b := range l.engines {
-		if b.unlistedAt == 0 && b.Instance == holdings.Instance && r.newLife(b, l.life()) {
+		if b.unlistedAt == 0 && b.Instance == holdings.Instance && r.observeIncarnation(b, l.incarnation()) {
 			b.aliveAt = r.now
 			if holdings.Ended {
 				r.serverEnded(b, "its loader finds it gone")
@@ -205,42 +208,42 @@
 		r.reindex(b)
 	}
 	if b := r.engineAt(l); b != nil {
-		l.ownThen, l.ownUnread = len(b.sent), b.queue.Len()
+		l.ownRequests, l.ownUnread = len(b.sent), b.queue.Len()
 		b.cache.Keep(func(model string) bool { has, _ := r.loaded(b, model, ""); return has })
 		r.learnStoreLoad(b, l)
-		r.pumpFor(b)
+		r.recheckWaitsFor(b)
 	}
 }
 
-// loaderCounted takes an engine's counts. They change nothing that is waited for,
-// so that queues are not looked at: of a large fleet's messages these are most.
-func (r *Router) loaderCounted(name core.HostID, counts core.Counts) {
+// loaderCountsReported processes an engine's counts. They do not affect waiting requests,
+// so that queues are not checked: in a large fleet most messages are of this kind.
+func (r *Router) loaderCountsReported(name core.HostID, counts core.Counts) {
 	l := r.loaders[name]
 	if l == nil || l.holdings == nil {
 		return
 	}
-	l.heardAt, l.directAt = r.now, r.now
-	r.takeCounts(l, counts, r.now)
+	l.lastMessageAt, l.directAt = r.now, r.now
+	r.applyCounts(l, counts, r.now)
 }
 
-// takeCounts takes an engine's counts as of a time, unless newer ones are known.
-func (r *Router) takeCounts(l *loader, counts core.Counts, at core.Time) {
+// applyCounts records an engine's counts as of a time, unless newer ones are known.
+func (r *Router) applyCounts(l *loader, counts core.Counts, at core.Time) {
 	if at < l.countedAt {
 		return
 	}
 	l.holdings.SetCounts(counts)
 	l.countedAt = at
 	if b := r.engineAt(l); b != nil {
-		if l.life().Compare(b.Incarnation) == 0 {
+		if l.incarnation().Compare(b.Incarnation) == 0 {
 			b.aliveAt = max(b.aliveAt, at)
 		}
-		l.ownThen = b.sentBy(at)
-		l.ownUnread = min(l.ownThen, b.queue.Len())
+		l.ownRequests = b.sentBy(at)
+		l.ownUnread = min(l.ownRequests, b.queue.Len())
 	}
 }
 
-// Relays returns loaders, by chance, that pass news of the registry on: connected
-// ones, so many at the most.
+// Relays returns at most the given number of connected loaders, chosen at random, that
+// relay news to other routers.
 func (r *Router) Relays(most int) []core.HostID {
 	var up []core.HostID
 	for _, l := range r.sortedLoaders() {
@@ -252,12 +255,13 @@
 	return up[:min(most, len(up))]
 }
 
-// Routers is the number of routers, this one included, as far as known.
+// Routers returns the number of routers, including this one, as far as known.
 func (r *Router) Routers() int { return r.routers() }
 
-// routers is the number of routers that share bounds, as far as known.
+// routers returns the number of routers that share bounds, as far as known. The result is
+// cached within a step.
 func (r *Router) routers() int {
-	if r.routersAt == r.steps && r.knownRouters > 0 {
+	if r.routersStep == r.steps && r.knownRouters > 0 {
 		return r.knownRouters
 	}
 	known := 1
@@ -266,6 +270,6 @@
 			known = max(known, l.holdings.Routers)
 		}
 	}
-	r.routersAt, r.knownRouters = r.steps, known
+	r.routersStep, r.knownRouters = r.steps, known
 	return known
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// relistWithin is how long after the store's return servers that lapsed
-	// meanwhile may take to register again: the platform promises two seconds.
+	// relistWithin is how long after the store's return servers whose entries expired
+	// meanwhile may take to register again: the platform guarantees two seconds.
 	relistWithin = 2200 * time.Millisecond
-	// lapseGap is how long the store must have answered nobody for entries to lapse by
-	// that: they do after three heartbeats (1.2 s each) without a write, the first of
-	// which may be due at once. Routers hear of each other's reads each second or more
-	// often.
+	// lapseGap is how long the store must have answered no router for entries to expire
+	// because of that: they expire after three heartbeats (1.2 s each) without a write, the
+	// first of which may be due at once. Routers receive news of each other's reads each
+	// second or more often.
 	lapseGap = 2 * time.Second
-	// forgetAfter is how long an unlisted server is kept for the requests that
-	// still run there: above the longest route timeout in use.
+	// forgetAfter is how long an unlisted server is kept for the requests that still run
+	// there. It is above the longest route timeout in use.
 	forgetAfter = 30 * time.Second
 )
 
@@ -44,12 +44,12 @@
 	for _, instance := range slices.Sorted(maps.Keys(removed)) {
 		r.removeBackend(instance)
 	}
-	r.pumpAll()
+	r.recheckAllWaits()
 }
 
-// changedByNews takes in what another router read. It does not tell the models that
-// engines have: what is known of them stays.
-func (r *Router) changedByNews(news core.RegistryNews) {
+// applyNews applies registry changes that another router read. They do not include the
+// models that engines have, so that the known ones are kept.
+func (r *Router) applyNews(news core.RegistryNews) {
 	r.storeAnswersOthers()
 	written := map[string]fleet.Backend{}
 	for _, entry := range news.Written {
@@ -64,11 +64,11 @@
 		removed[instance] = true
 	}
 	r.changeBackends(written, removed)
-	r.poisonHeard(news.Poison)
+	r.poisonReported(news.Poison)
 }
 
-// ChangedEntries returns those of the entries that say other than what is known, without
-// their models: what the other routers have to know.
+// ChangedEntries returns those of the entries that differ from the known ones, without
+// their models: what the other routers must receive.
 func (r *Router) ChangedEntries(written map[string]fleet.Backend) []core.ListedBackend {
 	var news []core.ListedBackend
 	for _, entry := range byRegistration(written) {
@@ -83,12 +83,12 @@
 	return news
 }
 
-// byRegistration lists entries in the order in which they registered.
+// byRegistration returns entries in the order in which they registered.
 //
-// It guards against a router that starts while the entry of a dead instance still
-// stands beside that of its successor at the same address: the one that it takes in
-// last counts as there. In the order of their names that was the dead one every
-// other time, and all requests for the engine came back refused for a second.
+// It guards against a router that starts while the entry of a dead instance is still listed
+// beside that of its successor at the same address: the entry processed last counts as
+// present. Sorted by name that was the dead one in half of the cases, and all requests for
+// the engine were refused for a second.
 func byRegistration(written map[string]fleet.Backend) []fleet.Backend {
 	return slices.SortedFunc(maps.Values(written), func(a, b fleet.Backend) int {
 		return cmp.Or(cmp.Compare(a.Registered, b.Registered), cmp.Compare(a.Instance, b.Instance))
@@ -105,7 +105,7 @@
 		b.Backend = entry
 		r.replaceInstances(b)
 		r.log(StateChange, "backend server found", b.attrs("slots", entry.Slots, "draining", entry.Draining)...)
-	} else if !r.newLife(b, entry.Incarnation) {
+	} else if !r.observeIncarnation(b, entry.Incarnation) {
 		return
 	} else if entry.Draining != b.Draining {
 		r.log(StateChange, "backend server changed state", b.attrs("draining", entry.Draining)...)
@@ -129,7 +129,7 @@
 	r.reindex(b)
 }
 
-// kvTokens is the size of an engine's KV cache, 0 at plain services.
+// kvTokens returns the size of an engine's KV cache, 0 for plain services.
 func (r *Router) kvTokens(service string) int {
 	if engine := r.engine(service); engine != nil {
 		return engine.KVTokens
@@ -137,8 +137,8 @@
 	return 0
 }
 
-// setAddress keeps the index of backend servers by address; "" takes one out. A fleet has
-// a few at one address at the most, and each new one looks for others at its own.
+// setAddress updates the index of backend servers by address; "" removes a server. At most
+// a few servers share an address, and each new one looks for others at its own.
 func (r *Router) setAddress(b *backend, address string) {
 	if listed := slices.Contains(r.byAddress[b.Address], b); listed && b.Address == address {
 		return
@@ -153,11 +153,11 @@
 	}
 }
 
-// replaceInstances takes other instances at the address of a new one for gone.
+// replaceInstances unlists other instances at the address of a new one.
 //
-// It guards against a server that crashed and started again: its old entry
-// stays for some heartbeats, and may come once more with a late one. Requests
-// for the old instance would be refused by the new one.
+// It guards against a server that crashed and started again: its old entry remains for some
+// heartbeats, and may be written once more by a late one. Requests for the old instance
+// would be refused by the new one.
 func (r *Router) replaceInstances(newest *backend) {
 	for _, other := range r.byAddress[newest.Address] {
 		if other == newest || other.replaced {
@@ -170,12 +170,11 @@
 	}
 }
 
-// removeBackend drops a server that the registry dropped.
+// removeBackend unlists a server whose registry entry was removed.
 //
-// It guards against entries that lapsed while the store was away: the servers
-// live, but could not renew. All of them would be dropped at once and every
-// request be refused. They are kept for as long as they may take to register
-// again.
+// It guards against entries that expired while the store was unavailable: the servers are
+// alive but could not renew them. All of them would be dropped at once and every request
+// refused. They are kept for the time that they may need to register again.
 func (r *Router) removeBackend(instance string) {
 	b := r.backends[instance]
 	if b == nil || b.unlistedAt != 0 {
@@ -190,7 +189,7 @@
 }
 
 func (r *Router) mayRelist() bool {
-	return r.storeDown != 0 || r.storeBack != 0 && r.now.Sub(r.storeBack) < relistWithin
+	return r.storeDownSince != 0 || r.storeBackAt != 0 && r.now.Sub(r.storeBackAt) < relistWithin
 }
 
 func (r *Router) unlist(b *backend, why string) {
@@ -201,7 +200,7 @@
 	r.log(StateChange, "backend server is gone", b.attrs("why", why, "requests", len(b.sent))...)
 }
 
-// dropUnlisted forgets servers that left, once nothing runs there.
+// dropUnlisted forgets unlisted servers once nothing runs there.
 func (r *Router) dropUnlisted() {
 	relist := r.mayRelist()
 	for _, b := range r.backends {
@@ -216,53 +215,53 @@
 	}
 }
 
-// storeAnswersOthers takes in that another router has read the store.
+// storeAnswersOthers records that another router has read the store.
 //
-// It guards against a store that turns this router away alone: taken for an outage, it
-// kept servers whose entries were withdrawn for seconds, in which they still got
-// requests. If news came all the while, nothing lapsed; after a gap the store has just
-// come back for all.
+// It guards against a store that refuses only this router: treated as an outage, it made
+// this router keep servers whose entries were withdrawn for seconds, in which they still
+// got requests. If news arrived without a gap, no entry expired because of an outage; after
+// a gap the store has just come back for all routers.
 func (r *Router) storeAnswersOthers() {
-	gap := r.now.Sub(r.storeHeard)
-	r.storeHeard = r.now
+	gap := r.now.Sub(r.storeAnsweredAt)
+	r.storeAnsweredAt = r.now
 	switch {
-	case r.storeDown == 0:
+	case r.storeDownSince == 0:
 	case gap < lapseGap:
-		r.log(StateChange, "platform store answers other routers", slog.String("away", r.now.Sub(r.storeDown).String()))
-		r.storeDown = 0
+		r.log(StateChange, "platform store answers other routers", slog.String("away", r.now.Sub(r.storeDownSince).String()))
+		r.storeDownSince = 0
 	default:
 		r.setStore(true)
 	}
 }
 
-// ownRead takes in whether the store answered a read of this router's own. The store may
-// turn it away and answer others.
-func (r *Router) ownRead(reachable bool) {
+// ownStoreRead records whether a read of this router's own succeeded. The store may refuse
+// this router and answer others.
+func (r *Router) ownStoreRead(reachable bool) {
 	switch {
 	case reachable:
-		r.turnedAway = 0
-	case r.turnedAway == 0:
-		r.turnedAway = r.now
+		r.ownReadsFailSince = 0
+	case r.ownReadsFailSince == 0:
+		r.ownReadsFailSince = r.now
 	}
 	r.setStore(reachable)
 }
 
 func (r *Router) setStore(reachable bool) {
 	if reachable {
-		r.storeHeard = r.now
+		r.storeAnsweredAt = r.now
 	}
 	switch {
-	case !reachable && r.storeDown == 0:
-		r.storeDown = r.now
+	case !reachable && r.storeDownSince == 0:
+		r.storeDownSince = r.now
 		r.log(StateChange, "platform store does not answer; working from what is known",
 			slog.Int("backends", len(r.backends)))
-	case reachable && r.storeDown != 0:
-		r.log(StateChange, "platform store answers again", slog.String("away", r.now.Sub(r.storeDown).String()))
-		r.storeDown, r.storeBack = 0, r.now
+	case reachable && r.storeDownSince != 0:
+		r.log(StateChange, "platform store answers again", slog.String("away", r.now.Sub(r.storeDownSince).String()))
+		r.storeDownSince, r.storeBackAt = 0, r.now
 	}
 }
 
-// attrs are the attributes that lines on a server have, and more.
+// attrs returns the log attributes that identify a server, followed by more.
 func (b *backend) attrs(more ...any) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String("instance", b.Instance), slog.String("service", b.Service),
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -8,16 +8,17 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// Another router has read that a server leaves and that one is gone. This router has
-// not read for a second; its requests must not go there, although no call of its own
-// told so. What it knows of engines' models stays: the news do not tell them.
-func TestNewsOfAnotherRouterCount(t *testing.T) {
-	w := newWorld(t)
+// Another router has read that a server is draining and that one is gone. This router has
+// not read the registry for a second; its requests must not go there, although no read of
+// its own has shown this. The known models of engines must stay: the news do not include
+// them.
+func TestNewsOfAnotherRouterAreApplied(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 3)
 	leaving := w.server(plainService, 0)
 	leaving.Draining = true
 	engine := w.born(7, firstBorn, "m1")
-	w.lists(engine)
+	w.register(engine)
 	w.step(NewsReceived{News: core.RegistryNews{
 		From: 1, To: 2, Written: []core.ListedBackend{leaving.Listed(), engine.Listed()}, Removed: []string{"s1"},
 	}})
@@ -31,10 +32,10 @@
 	}
 }
 
-// The registry changes with each load of each engine. Told in full, that was ten
-// times what routers need to tell each other: loaders speak of models first hand.
-func TestNewsTellOnlyWhatRoutersGoBy(t *testing.T) {
-	w := newWorld(t)
+// The registry changes with each load of each engine. News with all of these changes were
+// ten times the size of what routers need from each other: loaders report models directly.
+func TestNewsContainOnlyRelevantChanges(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 2)
 	same, slow := w.server(plainService, 0), w.server(plainService, 1)
 	same.Models = []fleet.LoadedModel{{Name: "m5"}}
@@ -45,23 +46,23 @@
 	}
 }
 
-// Entries lapse while the store is away, and another router reads that they are gone
-// once it is back. They may only not have registered again yet: they are kept.
+// Entries expire while the store is unavailable, and another router reads that they are
+// gone once it is back. Their servers may not have registered again yet: they must be kept.
 func TestNewsOfLapsedServersKeepThem(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 2)
 	w.step(StoreState{Reachable: false})
 	w.step(NewsReceived{News: core.RegistryNews{From: 1, To: 2, Removed: []string{"s0", "s1"}}})
 	w.lastSend(w.call("once", nil))
 }
 
-// The store turns this router away for eight seconds and serves the others, which read
-// and tell it. One of them reads that a server's entry was withdrawn. This router took
-// the store for away, and such entries for lapsed; as it heard news, its own next read
-// was put off, and it went on sending there for five seconds, when three are allowed.
-// The store answers others all the while: the entry is gone.
-func TestStoreThatTurnsOneRouterAwayIsNotAway(t *testing.T) {
-	w := newWorld(t)
+// The store refuses this router for eight seconds and answers the others, which read it and
+// send news. One of them reads that a server's entry was withdrawn. When this router
+// treated that as an outage of the store and the entry as expired, and the news postponed
+// its own next read, it sent requests there for five seconds, when three are allowed. The
+// store answers other routers all the time: the entry is gone.
+func TestStoreThatRefusesOneRouterIsNotDown(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 2)
 	w.step(StoreState{Reachable: false})
 	for revision := range int64(8) {
@@ -78,20 +79,20 @@
 	}
 }
 
-// An engine at which nothing happens tells its counts alone, for as long as nothing
-// does. Its loader must not be taken for silent, nor what it holds for old; and a load
-// whose end it predicted is as much nearer as time has passed since it said so.
-func TestCountsKeepAWordFresh(t *testing.T) {
-	w := newWorld(t)
+// An engine without activity reports its counts alone. Its loader must not be considered
+// silent, nor its holdings out of date; and the predicted end of a load must come closer
+// with the time since its report.
+func TestCountsKeepHoldingsValid(t *testing.T) {
+	w := newFixture(t)
 	w.servers(engineService, 1)
-	w.holds(0, core.Holdings{FreeMB: 10_000, Models: loadedModels("m1")})
+	w.reportHoldings(0, core.Holdings{FreeMB: 10_000, Models: loadedModels("m1")})
 	for range 10 {
 		w.run(time.Second)
 		w.step(LoaderCountsReported{Loader: loaderName(0), Counts: core.Counts{Running: 1, FreeMB: 20_000, IdleMB: 30_000}})
 	}
 	w.lastSend(w.call("patient", prompt("m1")))
 	l := w.router.loaders[loaderName(0)]
-	if !l.up || l.holdings.IdleMB != 30_000 || w.now.Sub(l.saidAt) < 9*time.Second {
-		t.Errorf("up %t, idle %.0f MB, holdings %v old", l.up, l.holdings.IdleMB, w.now.Sub(l.saidAt))
+	if !l.up || l.holdings.IdleMB != 30_000 || w.now.Sub(l.holdingsAt) < 9*time.Second {
+		t.Errorf("up %t, idle %.0f MB, holdings %v old", l.up, l.holdings.IdleMB, w.now.Sub(l.holdingsAt))
 	}
 }
--- a/internal/router/permit.go
+++ b/internal/router/permit.go
@@ -10,26 +10,26 @@
 	"nutmeglane.example/nutmeglane/internal/limit"
 )
 
-// This file keeps to the limits that backend servers name.
+// This file enforces the request limits that backend servers name.
 //
-// It answers this pattern: a server in need says that it takes 4.7 requests a second from
-// all routers together, and each of four routers goes on by its own prediction. The server
-// has less to do than the others and looks better than they do, so that it gets 17.5 a
-// second, a third more than before it asked for less.
+// An overloaded server may announce that it takes 4.7 requests a second from all routers
+// together. If each of four routers follows only its own prediction, the server has less to
+// do than the others and therefore looks better, so that it gets 17.5 a second, a third
+// more than before it asked for less.
 //
-// Each request to such a server needs a permit of the loader that counts (see package
-// limit), whatever it is: a first attempt, a repeat, a resumed stream, one that has waited
-// for its model. A request for which there is no room goes to another server that can
-// serve it, waits for its model there or here, or is refused with the time at which there
-// will be room. A limited engine counts as full where models are placed, so that what it
+// Each request to such a server needs a permit from the loader that counts (see package
+// limit): a first attempt, a retry, a resumed stream, one that has waited for its model. A
+// request for which there is no room goes to another server that can serve it, waits for
+// its model there or here, or is refused with the time at which there will be room. An
+// engine that is at its limit counts as full in the placement of models, so that what it
 // held and no longer serves is loaded elsewhere.
 
-// permitted tells whether a request may be sent to a server now. If not, it was asked for
-// or sent on its way elsewhere.
+// permitted reports whether a request may be sent to a server now. If not, a permit was
+// requested, or the request was dispatched elsewhere.
 func (r *Router) permitted(req *request, b *backend, spare bool) bool {
 	gate := b.limit.gate
 	gate.Asked(r.now)
-	switch keeper := r.keeperOf(b); {
+	switch keeper := r.limitLoader(b); {
 	case req.granted == b:
 		req.granted = nil
 		return true
@@ -53,23 +53,23 @@
 func (r *Router) askPermit(req *request, b *backend, keeper *loader, spare bool) {
 	r.leaveWait(req)
 	req.asking, req.askedAt = b, r.now
-	ask := r.limitWord(b)
+	ask := r.limitMessage(b)
 	ask.Ask, ask.Spare = uint64(req.key), spare
 	r.emit(AskLimit{Loader: keeper.name, Ask: ask})
 }
 
-// permitAnswered goes on with a request whose permit was granted or refused. One that has
-// ended meanwhile leaves its permit unused.
-func (r *Router) permitAnswered(b *backend, told core.LimitTold) {
-	req := r.requests[Key(told.Ask)]
+// permitAnswered continues with a request whose permit was granted or refused. If the
+// request has ended meanwhile, the permit remains unused.
+func (r *Router) permitAnswered(b *backend, answer core.LimitTold) {
+	req := r.requests[Key(answer.Ask)]
 	if req == nil || req.asking != b {
 		r.countPermit(b, "unused")
 		return
 	}
 	req.asking = nil
 	switch {
-	case !told.Granted:
-		b.limit.gate.Refused(r.now, told.Room, told.Spare)
+	case !answer.Granted:
+		b.limit.gate.Refused(r.now, answer.Room, answer.Spare)
 		r.countPermit(b, "refused")
 		r.noRoom(req, b, "the loader that counts")
 	case !r.serves(b, req):
@@ -78,32 +78,32 @@
 	default:
 		r.countPermit(b, "granted")
 		req.granted = b
-		choice := r.price(req, b)
+		choice := r.estimateCost(req, b)
 		r.send(req, &choice)
 	}
 }
 
-// permitLate goes on with a request whose question was not answered: by this router's own
-// part, or elsewhere.
-func (r *Router) permitLate(req *request) {
+// permitTimedOut continues with a request whose permit request was not answered: with this
+// router's own share of the limit, or at another server.
+func (r *Router) permitTimedOut(req *request) {
 	b := req.asking
 	req.asking = nil
 	b.limit.gate.Unanswered(r.now)
 	r.countPermit(b, "unanswered")
-	r.log(SingleRequest, "loader did not answer for a server's limit", req.attrs("instance", b.Instance)...)
+	r.log(SingleRequest, "permit request not answered in time by the loader", req.attrs("instance", b.Instance)...)
 	r.dispatch(req)
 }
 
-// noRoom finds another way for a request for which a server has no room.
-func (r *Router) noRoom(req *request, b *backend, by string) {
+// noRoom dispatches a request again for which a server has no room.
+func (r *Router) noRoom(req *request, b *backend, refusedBy string) {
 	perSecond, _ := b.limit.gate.Limit()
 	r.log(SingleRequest, "backend server has no room for the request", req.attrs("instance", b.Instance, "per_second", perSecond,
-		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "refused_by", by,
+		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "refused_by", refusedBy,
 		"room_in", b.limit.gate.RoomIn(r.now, true).String())...)
 	r.dispatch(req)
 }
 
-// serves tells that a server takes requests and has what this one is for.
+// serves reports whether a server takes requests and has what this one needs loaded.
 func (r *Router) serves(b *backend, req *request) bool {
 	if b.unlistedAt != 0 || r.draining(b) {
 		return false
@@ -115,13 +115,14 @@
 	return hasModel && hasAdapter
 }
 
-// hasRoom tells that a server may take a request that no other server can serve.
+// hasRoom reports whether a server may take a request that no other server can serve.
 func (r *Router) hasRoom(b *backend) bool {
 	return len(r.limited) == 0 || b.limit.gate.RoomIn(r.now, false) == 0
 }
 
-// withRoom leaves out of several servers those that have room only for what no other
-// server can serve. One whose limit is to be looked into is left alone.
+// withRoom removes from several servers those that have room only for requests that no
+// other server can serve. If the limit of one of them must be confirmed, it returns that
+// server alone.
 func (r *Router) withRoom(servers []*backend) []*backend {
 	if len(r.limited) == 0 || len(servers) < 2 {
 		return servers
@@ -136,24 +137,24 @@
 	return servers
 }
 
-// hasSpareRoom tells that a server may take a request that another server could serve.
+// hasSpareRoom reports whether a server may take a request that another server could serve.
 func (r *Router) hasSpareRoom(b *backend) bool {
 	return len(r.limited) == 0 || b.limit.gate.RoomIn(r.now, true) == 0
 }
 
-// canServe tells that a server takes the request now.
+// canServe reports whether any server can take the request now.
 func (r *Router) canServe(req *request) bool {
-	return slices.ContainsFunc(r.serversOf(req.service), func(b *backend) bool { return r.takes(b, req) && r.hasRoom(b) })
+	return slices.ContainsFunc(r.serversOf(req.service), func(b *backend) bool { return r.eligible(b, req) && r.hasRoom(b) })
 }
 
-// refuseAtLimit refuses a request for which no server of a plain service has room, with
-// the time at which the first has.
+// refuseAtLimit refuses a request for which no server of a plain service has room, with the
+// time at which the first server will have room.
 func (r *Router) refuseAtLimit(req *request) {
 	var first *backend
 	room := time.Duration(0)
 	for _, b := range r.serversOf(req.service) {
 		in := b.limit.gate.RoomIn(r.now, false)
-		if r.takes(b, req) && (first == nil || in < room) {
+		if r.eligible(b, req) && (first == nil || in < room) {
 			first, room = b, in
 		}
 	}
@@ -162,11 +163,12 @@
 		return
 	}
 	perSecond, _ := first.limit.gate.Limit()
-	r.finish(req, code.AtLimit, r.returnIn(first.limit.gate.ReturnIn(r.now)), fmt.Sprintf("no server has room within its limit; the first is %s, which has named %g a second for %v",
+	r.finish(req, code.AtLimit, r.retryAfterIn(first.limit.gate.ReturnIn(r.now)), fmt.Sprintf("no server has room within its limit; the first is %s, which has named %g a second for %v",
 		first.Instance, perSecond, r.now.Sub(first.limit.gate.KnownSince())))
 }
 
-// roomFor is how long the last of so many requests waits for its permit at a server.
+// roomFor is how long the last of the given number of requests waits for its permit at a
+// server.
 func (r *Router) roomFor(b *backend, waiting int) time.Duration {
 	perSecond, named := b.limit.gate.Limit()
 	if !named {
@@ -176,9 +178,9 @@
 	return b.limit.gate.RoomIn(r.now, false) + time.Duration(queue*float64(time.Second))
 }
 
-// short tells that an engine takes fewer requests than its models are called for there, by
-// its limit.
-func (r *Router) short(b *backend) bool {
+// limitTooLow reports whether an engine's limit is below the rate at which its models are
+// called there.
+func (r *Router) limitTooLow(b *backend) bool {
 	perSecond, named := b.limit.gate.Limit()
 	if !named {
 		return false
