--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -13,24 +13,24 @@
 	"nutmeglane.example/nutmeglane/internal/poison"
 )
 
-// This file keeps requests that crash the servers which run them from further ones.
+// This file prevents requests that crash servers from being sent to more of them.
 //
-// It answers this pattern: one caller's request crashes each engine that begins to run
-// it, and comes again each second under a new id, at any router. Each engine is away
-// for some seconds, with up to 64 requests of others and its models. In 71 s 33 engines
-// of 12 ended so, up to three at a time, and 105 callers in 15 s lost their answers.
+// A single request may crash each engine that begins to run it, and be retried each second
+// under a new id, at any router. Each engine is away for some seconds, with up to 64
+// requests of other callers and its models. In 71 s 33 engines of 12 ended in this way, up
+// to three at a time, and 105 callers in 15 s lost their answers.
 //
-// No router sees enough by itself. Each tells what it lost when a server ended (see
-// serverend.go); two loaders pass that on, and all routers conclude the same from it.
-// What is concluded lasts in three places: with the routers, with the loaders, which
-// tell routers that start, and in the platform's store, for when all processes end.
+// No router sees enough on its own. Each reports what it lost when a server ended (see
+// serverend.go); two loaders relay the report, and all routers reach the same conclusion
+// from it. The conclusion is stored in three places: at the routers, at the loaders, which
+// pass it on to routers that start, and in the platform's store, in case all processes end.
 
-// poisonRelays is how many loaders pass news on: one may be frozen or cut off.
+// poisonRelays is how many loaders relay news: one may be frozen or unreachable.
 const poisonRelays = 2
 
-// tellOthers tells the other routers. Without a loader that could pass it on, the store
-// does, under a name that no other news has.
-func (r *Router) tellOthers(name string, news core.PoisonNews) {
+// relayPoison sends news to the other routers. If no loader can relay it, it is written to
+// the store under a name that no other news has.
+func (r *Router) relayPoison(name string, news core.PoisonNews) {
 	if to := r.Relays(poisonRelays); len(to) > 0 {
 		r.emit(RelayPoison{Via: to, News: news})
 		return
@@ -38,9 +38,9 @@
 	r.emit(Publish{Name: name, News: news})
 }
 
-// poisonHeard takes news in. A server that another router knows to have ended has ended
-// for this one too: servers without a loader show it here some seconds later only.
-func (r *Router) poisonHeard(news core.PoisonNews) {
+// poisonReported processes news. A server that another router found to have ended has ended
+// for this one too: without a loader, this router would notice only some seconds later.
+func (r *Router) poisonReported(news core.PoisonNews) {
 	found := r.ledger.Hear(r.now, news)
 	for _, end := range news.Ends {
 		b := r.backends[end.Life.Instance]
@@ -48,15 +48,15 @@
 			r.serverEnded(b, "another router found it gone")
 		}
 	}
-	r.keepFromServers(found)
+	r.blockPoison(found)
 }
 
-// keepFromServers ends what this router has of requests that were just found to crash
-// servers: those that wait, and those that no server has begun to answer.
-func (r *Router) keepFromServers(found []core.Fingerprint) {
+// blockPoison ends this router's requests that were just found to crash servers: those that
+// wait, and those that no server has begun to answer.
+func (r *Router) blockPoison(found []core.Fingerprint) {
 	for _, f := range found {
 		r.emit(Count{core.Count{Name: metricPoison, Add: 1}})
-		r.log(StateChange, "request is kept from servers, as they end under it", r.evidenceAttrs(f)...)
+		r.log(StateChange, "poison request found: servers ended while running it", r.evidenceAttrs(f)...)
 		if r.ledger.Own(f) {
 			r.publish(f)
 		}
@@ -68,8 +68,9 @@
 	}
 }
 
-// recallable requests wait, or no server has begun to answer them. One whose attempt
-// has just failed is neither: what becomes of it is being decided.
+// recallable reports whether a request waits or no server has begun to answer it. It is
+// false for a request whose attempt has just failed: its outcome is being decided
+// elsewhere.
 func (req *request) recallable() bool {
 	return req.waiting != nil || req.backend != nil && !req.attempt.answered
 }
@@ -82,12 +83,12 @@
 	r.refusePoison(req)
 }
 
-// refusePoison ends a request without sending it. The status promises nothing: what the
-// caller asks for has run before.
+// refusePoison ends a request without sending it. Its status does not promise that nothing
+// has run: the same work has run before.
 func (r *Router) refusePoison(req *request) {
 	f := req.fingerprint
 	r.ledger.Seen(r.now, f)
-	r.log(SingleRequest, "request not sent, as servers ended under it", slices.Concat(req.attrs(), r.evidenceAttrs(f))...)
+	r.log(SingleRequest, "poison request not sent", slices.Concat(req.attrs(), r.evidenceAttrs(f))...)
 	if at, ok := r.published[f]; !ok {
 		r.published[f] = r.now
 	} else if r.now.Sub(at) > poison.Keep/2 {
@@ -100,7 +101,8 @@
 	r.finish(req, c, 0, fmt.Sprintf("%d backend servers ended under request %s", r.ledger.Ends(f), f))
 }
 
-// evidenceAttrs tell which servers ended under a request, and since when.
+// evidenceAttrs are log attributes that show which servers ended on a request, and since
+// when.
 func (r *Router) evidenceAttrs(f core.Fingerprint) []slog.Attr {
 	var servers []string
 	first, last := time.Duration(0), time.Duration(0)
@@ -117,41 +119,41 @@
 	}
 }
 
-// publish keeps the evidence against a request in the platform's store.
+// publish writes the evidence against a request to the platform's store.
 //
-// It guards against the end of all processes at once: the next ones would know nothing,
+// It guards against the end of all processes at once: the new ones would have no evidence,
 // and three more servers would end before they did.
 func (r *Router) publish(f core.Fingerprint) {
 	r.published[f] = r.now
 	r.emit(Publish{Name: f.String(), News: core.PoisonNews{Ends: r.ledger.Evidence(r.now, f)}})
 }
 
-// ranWell takes back what was held against a request that has been answered whole.
-func (r *Router) ranWell(req *request) {
+// answeredWhole clears the evidence against a request that was answered completely.
+func (r *Router) answeredWhole(req *request) {
 	if ends := r.ledger.Ends(req.fingerprint); ends > 1 {
 		r.clear(req.fingerprint, "it was answered whole")
 	} else if ends == 1 {
-		r.ledger.Clear(r.now, req.fingerprint) // one end at other routers says nothing
+		r.ledger.Clear(r.now, req.fingerprint) // a single end reported by other routers is no evidence
 	}
 }
 
-// lift is an operator's order.
-func (r *Router) lift(f core.Fingerprint) { r.clear(f, "an operator lifted it") }
+// liftPoison clears the evidence against a request by an operator's order.
+func (r *Router) liftPoison(f core.Fingerprint) { r.clear(f, "an operator lifted it") }
 
-// clear takes back what is held against a request, here and at the other routers. What
-// the store has against it is replaced.
+// clear removes the evidence against a request, here and at the other routers, and replaces
+// the evidence in the store.
 func (r *Router) clear(f core.Fingerprint, why string) {
-	r.log(StateChange, "request is well", append(r.evidenceAttrs(f), slog.String("why", why))...)
+	r.log(StateChange, "evidence against request cleared", append(r.evidenceAttrs(f), slog.String("why", why))...)
 	news := core.PoisonNews{Cleared: []core.Fingerprint{f}}
 	if r.ledger.Poison(f) {
 		r.emit(Publish{Name: f.String(), News: news})
 	}
 	r.ledger.Clear(r.now, f)
 	delete(r.published, f)
-	r.tellOthers(f.String(), news)
+	r.relayPoison(f.String(), news)
 }
 
-func (r *Router) forgetPoison() {
+func (r *Router) expirePoison() {
 	r.ledger.Forget(r.now)
 	maps.DeleteFunc(r.published, func(f core.Fingerprint, _ core.Time) bool { return r.ledger.Ends(f) == 0 })
 }
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -12,28 +12,29 @@
 	"nutmeglane.example/nutmeglane/internal/quota"
 )
 
-// This file bounds what client accounts use. See package quota.
+// This file enforces the quotas of client accounts. See package quota.
 //
-// It answers this pattern: one account sends five times its usual for some seconds, by
-// callers spread unevenly over 28 routers. Without a bound it ran 738,764 tokens in 8 s
-// where 676,781 are allowed, and the others' prompts were read behind its own.
+// One account may send five times its usual load for some seconds, by callers that are
+// unevenly distributed over 28 routers. Without a quota it ran 738,764 tokens in 8 s where
+// 676,781 are allowed, and other accounts' prompts were read after its own.
 
 const (
-	// maxAccountLabels bounds the accounts that have metrics of their own; the others
-	// count together.
+	// maxAccountLabels bounds the number of accounts that have metrics of their own; the
+	// others are counted together.
 	maxAccountLabels = 64
 	otherAccounts    = "other"
-	// quotaKey is what loaders are ranked by, to keep the bounds.
+	// quotaKey is the hash key by which loaders are ranked for keeping quotas.
 	quotaKey = "quota"
-	// notedWait is how long a request waits for its account's room before that is logged.
-	notedWait = 50 * time.Millisecond
+	// minLoggedWait is how long a request must wait for its account's quota for that to be
+	// logged.
+	minLoggedWait = 50 * time.Millisecond
 )
 
 func quotaBounds(b fleet.Bounds) quota.Bounds {
 	return quota.Bounds{Window: b.QuotaWindow, Over: b.QuotaOver, Slack: b.QuotaSlack, Routers: b.QuotaRouters}
 }
 
-// setQuotas takes the limits of a newer configuration.
+// setQuotas installs the limits of a newer configuration.
 func (r *Router) setQuotas(list []fleet.Account) {
 	limits := map[string]quota.Limit{}
 	r.accountLabels = map[string]bool{}
@@ -48,8 +49,8 @@
 	r.gate.SetLimits(r.now, r.config.Version, limits)
 }
 
-// charge counts a request against its account's quota. It reports false where the request
-// goes no further: it was refused, or waits for room.
+// charge counts a request against its account's quota. It returns false if the request does
+// not proceed: it was refused, or waits for quota.
 func (r *Router) charge(req *request) bool {
 	if req.account == nil || !req.account.Limited() {
 		return true
@@ -57,16 +58,16 @@
 	cost := req.account.Cost(req.prompt)
 	d := r.gate.Admit(r.now, uint64(req.key), req.account.Name, cost)
 	if d.Outcome == quota.Waits {
-		req.asksQuota = true
+		req.awaitingQuota = true
 		r.requests[req.key] = req
 		return false
 	}
-	return r.charged(req, d)
+	return r.applyDecision(req, d)
 }
 
-// charged takes in the decision on a request. It refuses the request and reports false if
-// there is no room.
-func (r *Router) charged(req *request, d quota.Decision) bool {
+// applyDecision applies the decision on a request. If there is no quota left it refuses the
+// request and returns false.
+func (r *Router) applyDecision(req *request, d quota.Decision) bool {
 	cost := req.account.Cost(req.prompt)
 	if d.Outcome == quota.Admitted {
 		req.charged, req.chargedUntil = cost, d.Until
@@ -74,28 +75,29 @@
 		return true
 	}
 	r.countUnits(req, "refused", cost)
-	r.finish(req, code.OverQuota, r.returnIn(d.RetryAfter), fmt.Sprintf(
+	r.finish(req, code.OverQuota, r.retryAfterIn(d.RetryAfter), fmt.Sprintf(
 		"the account is at its limit: cost %.0f, in hand %.0f, own share %.3f, decided by %s, configuration %d",
 		cost, d.Hold, d.Share, d.Rule, r.config.Version))
 	return false
 }
 
-// tickQuotas lets time pass for the quotas.
+// tickQuotas updates the quota gate's loaders and time.
 func (r *Router) tickQuotas() {
 	r.gate.SetLoaders(r.now, r.quotaLoaders())
 	r.gate.Tick(r.now)
 }
 
-// settleQuotas goes on with the requests that were decided, and asks for the others.
-func (r *Router) settleQuotas() {
+// applyQuotaDecisions continues with the requests that were decided, and sends the pending
+// questions to loaders.
+func (r *Router) applyQuotaDecisions() {
 	for _, v := range r.gate.Verdicts() {
 		req := r.requests[Key(v.Key)]
 		if req == nil {
 			continue
 		}
-		req.asksQuota = false
+		req.awaitingQuota = false
 		r.logWait(req, v.Decision)
-		if r.charged(req, v.Decision) {
+		if r.applyDecision(req, v.Decision) {
 			r.accept(req)
 		}
 	}
@@ -104,24 +106,25 @@
 	}
 }
 
-// logWait tells of a request that waited for longer than a question to a loader takes.
+// logWait logs that a request waited for longer than a round trip to a loader takes.
 func (r *Router) logWait(req *request, d quota.Decision) {
-	if waited := r.now.Sub(req.arrived); waited >= notedWait {
-		r.log(SingleRequest, "request waited for its account's room", req.attrs("waited", waited.String(), "admitted", d.Outcome == quota.Admitted,
+	if waited := r.now.Sub(req.arrived); waited >= minLoggedWait {
+		r.log(SingleRequest, "request waited for its account's quota", req.attrs("waited", waited.String(), "admitted", d.Outcome == quota.Admitted,
 			"hold", d.Hold, "own_share", d.Share)...)
 	}
 }
 
-// leaveQuota forgets that a request waits for room.
+// leaveQuota removes a request from the queue for its account's quota.
 func (r *Router) leaveQuota(req *request) {
-	if req.asksQuota {
-		req.asksQuota = false
+	if req.awaitingQuota {
+		req.awaitingQuota = false
 		r.gate.Forget(req.account.Name, uint64(req.key))
 	}
 }
 
-// giveBack takes a request out of its account's use that proved not to have run.
-func (r *Router) giveBack(req *request) {
+// refundQuota returns to its account's quota what was charged for a request that proved not
+// to have run.
+func (r *Router) refundQuota(req *request) {
 	if req.charged > 0 {
 		r.gate.Return(r.now, req.account.Name, req.charged, req.chargedUntil)
 		r.countUnits(req, "returned", req.charged)
@@ -137,8 +140,8 @@
 	r.emit(Count{core.Count{Name: metricAccountUnits, Labels: []string{name, outcome}, Add: units}})
 }
 
-// quotaLoaders are the connected loaders in the order in which they are to keep the bounds:
-// the same at all routers that reach them.
+// quotaLoaders returns the connected loaders in the order of preference for keeping the
+// quotas: the same at all routers that reach them.
 func (r *Router) quotaLoaders() []core.HostID {
 	if !r.gate.Counts() {
 		return nil
@@ -155,8 +158,8 @@
 	return names
 }
 
-// orderForQuotas takes loaders of all availability zones by turns, so that those that keep
-// the bounds are not lost together.
+// orderForQuotas interleaves the loaders of all availability zones, so that those that keep
+// the quotas are not lost together.
 func (r *Router) orderForQuotas() []*loader {
 	type place struct {
 		loader *loader
@@ -183,7 +186,7 @@
 	return order
 }
 
-// zone is that of the engines beside the loader.
+// zone returns the availability zone of the engines beside the loader.
 func (l *loader) zone() core.Zone {
 	if len(l.engines) == 0 {
 		return ""
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -10,15 +10,15 @@
 	"nutmeglane.example/nutmeglane/internal/quota"
 )
 
-// quotaWorld is a router beside a loader that keeps the bounds of an account.
-type quotaWorld struct {
-	*world
+// quotaFixture is a router with a loader that keeps the quotas of an account.
+type quotaFixture struct {
+	*fixture
 	keeper *quota.Keeper
 }
 
-// newQuotaWorld returns a router that has lent its share to the loader of an engine.
-func newQuotaWorld(t *testing.T) *quotaWorld {
-	w := &quotaWorld{world: newWorld(t), keeper: quota.NewKeeper()}
+// newQuotaFixture returns a router that has lent its share to the loader of an engine.
+func newQuotaFixture(t *testing.T) *quotaFixture {
+	w := &quotaFixture{fixture: newFixture(t), keeper: quota.NewKeeper()}
 	bounds := testBounds()
 	bounds.QuotaWindow, bounds.QuotaRouters = 8*time.Second, 1
 	w.router.SetBounds(bounds)
@@ -27,15 +27,15 @@
 	config.Accounts[0].Rate, config.Accounts[0].Burst = 100, 100
 	w.step(ConfigRead{Config: config})
 	for range 100 {
-		w.holds(0, core.Holdings{Models: loadedModels("m0")})
+		w.reportHoldings(0, core.Holdings{Models: loadedModels("m0")})
 		w.run(tickInterval)
 		w.answer()
 	}
 	return w
 }
 
-// answer lets the loader answer what it was asked.
-func (w *quotaWorld) answer() {
+// answer delivers the loader's answers to its questions.
+func (w *quotaFixture) answer() {
 	w.t.Helper()
 	asks := w.quotaAsks
 	w.quotaAsks = nil
@@ -44,10 +44,10 @@
 	}
 }
 
-// Guards against a request that is refused, or sent without room in its account's bound, while
-// the loader is being asked.
-func TestRequestWaitsForItsAccountsRoom(t *testing.T) {
-	w := newQuotaWorld(t)
+// Guards against a request that is refused, or sent without quota of its account, while the
+// loader is being asked.
+func TestRequestWaitsForItsAccountsQuota(t *testing.T) {
+	w := newQuotaFixture(t)
 	key := w.callWith("again", validKey)
 	if _, ended := w.finishes[key]; ended || len(w.sends[key]) > 0 {
 		t.Fatalf("decided before the loader has answered: %+v", w.finishes[key])
@@ -56,9 +56,9 @@
 	w.wantCode(key, code.OK)
 }
 
-// Guards against tokens that are taken for a caller who has left.
-func TestCallerWhoLeavesWhileItWaitsForRoomIsForgotten(t *testing.T) {
-	w := newQuotaWorld(t)
+// Guards against tokens that are charged for a caller who has cancelled.
+func TestCallerWhoLeavesWhileWaitingForQuotaIsDropped(t *testing.T) {
+	w := newQuotaFixture(t)
 	key := w.callWith("again", validKey)
 	w.step(CallerLeft{Key: key})
 	w.answer()
@@ -67,10 +67,10 @@
 	}
 }
 
-// An account asks for far more than it may. What is refused was not sent anywhere, and what
-// is served is within the bound.
-func TestAccountOverItsBoundIsRefused(t *testing.T) {
-	w := newQuotaWorld(t)
+// An account requests far more than its quota. Refused requests must not be sent anywhere,
+// and what is served must be within the quota.
+func TestAccountOverItsQuotaIsRefused(t *testing.T) {
+	w := newQuotaFixture(t)
 	refused, served := 0, 0
 	for range 2000 {
 		key := w.callWith("again", validKey)
--- a/internal/router/rate_test.go
+++ b/internal/router/rate_test.go
@@ -9,9 +9,9 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// The whole fleet was restarted, and 20 callers a second are back at once. After
-// a second their model counted as called 7 times a second, and stayed on too few
-// engines until more had been seen.
+// Guards against underestimated rates after a restart of the whole fleet, when 20 callers a
+// second are back at once: after a second their model counted as called 7 times a second,
+// and stayed on too few engines until more calls had been seen.
 func TestRateIsRightSoonAfterAStart(t *testing.T) {
 	s := &service{rates: map[modelKey]*rate{}}
 	start := core.Time(time.Hour)
@@ -30,9 +30,8 @@
 	}
 }
 
-// One call in the first moment tells little: it must not count as a stream of
-// calls.
-func TestFirstCallIsNoStream(t *testing.T) {
+// A single first call must not count as a high rate.
+func TestFirstCallIsNoHighRate(t *testing.T) {
 	s := &service{rates: map[modelKey]*rate{}}
 	s.arrival(core.Time(time.Hour), &fleet.Prompt{Model: "m"})
 	if got := s.rate(modelKey{model: "m"}).perSecond(core.Time(time.Hour)); got > 2.5 {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -12,105 +12,106 @@
 )
 
 const (
-	// answerSlack is how long after its limit a request waits for the server's
-	// own answer to the deadline, which is on its way then.
+	// answerSlack is how long after its deadline a request waits for the server's own
+	// response to the deadline, which is then in transit.
 	answerSlack = 80 * time.Millisecond
-	// hedgeObjective is the part of the objective after which an idempotent
-	// request without an answer is tried elsewhere: late enough that most
-	// answers have come, early enough that the second still can be in time.
-	hedgeObjective = 0.5
-	// lateAfter is how many times the predicted time a generation may take to its
-	// first event before it counts as late.
+	// hedgeFraction is the fraction of the objective after which an idempotent request
+	// without an answer is tried on another server: late enough that most answers have
+	// arrived, early enough that the second attempt can still meet the objective.
+	hedgeFraction = 0.5
+	// lateAfter is how many times the predicted time to its first event a generation may
+	// take before it counts as late.
 	lateAfter = 2
-	// moveLate is how many times the predicted cost elsewhere a generation must be
-	// late by before it is moved from an engine that works: what has been read
-	// there is lost, and others may move at the same moment.
+	// moveLate is how many times the predicted cost elsewhere a generation must be late by
+	// before it is moved away from an engine that works: what the engine has read of the
+	// prompt is lost, and other requests may move at the same moment.
 	moveLate = 3
-	// reportDelay is how old an engine's state is when its loader tells it: the
-	// pause between two reports, the engine's own delay and the way.
+	// reportDelay is the age of an engine's state when its loader's report arrives: the
+	// interval between two reports, the engine's own delay and the network latency.
 	reportDelay = 400 * time.Millisecond
-	// stallPauses is how many pause objectives without an event a resumable
-	// stream waits before it is resumed elsewhere; stallLeast is the least.
-	// Callers give up after eight pauses or 2 s.
+	// stallPauses is how many pause objectives without an event a resumable stream waits
+	// before it is resumed on another server, minStall the minimum wait. Callers give up
+	// after eight pause objectives or 2 s.
 	stallPauses = 3
-	stallLeast  = time.Second
-	// unknownReturn is when a refused caller should come back if nothing
-	// tells when there will be room.
-	unknownReturn = 500 * time.Millisecond
-	// quickReturn is when a caller should come back whose route allows one
-	// server, when another could serve the request at once.
-	quickReturn = 20 * time.Millisecond
-	// returnSpread is the part of a Retry-After that is random, so that callers
-	// who are refused together do not come back together.
-	returnSpread = 0.3
-	// Callers of a stream leave after a gap of gapLeast, gapObjectives times the
-	// objective or gapPauses times the pause objective, whichever is longest,
-	// also before the first event. Platform's word on its clients.
-	gapLeast      = 2 * time.Second
+	minStall    = time.Second
+	// defaultRetryAfter is the Retry-After of a refusal if it is unknown when there will be
+	// capacity.
+	defaultRetryAfter = 500 * time.Millisecond
+	// quickRetryAfter is the Retry-After of a refusal if the route allows one attempt and
+	// another server could serve the request at once.
+	quickRetryAfter = 20 * time.Millisecond
+	// retryAfterSpread is the random part of a Retry-After, as a fraction, so that callers
+	// that are refused together do not retry together.
+	retryAfterSpread = 0.3
+	// Callers of a stream cancel after a gap of minGap, gapObjectives times the objective
+	// or gapPauses times the pause objective, whichever is longest, also before the first
+	// event. The platform specifies this behaviour of its clients.
+	minGap        = 2 * time.Second
 	gapObjectives = 4
 	gapPauses     = 8
-	// leastConns is the least number of connections to one server.
-	leastConns = 4
+	// minConns is the minimum number of connections that this router may have to one
+	// server.
+	minConns = 4
 )
 
-// request is a caller's request in this process.
+// request is the state of a caller's request in this process.
 type request struct {
 	key Key
 	id  string
-	// fingerprint is the same for all requests for the same work.
+	// fingerprint is equal for all requests for the same work.
 	fingerprint core.Fingerprint
 	prompt      *fleet.Prompt
-	// prefix is the prompt as caches look it up.
+	// prefix is the prompt in the form in which prefix caches look it up.
 	prefix  work.Prefix
 	route   *fleet.Route
 	service string
-	// account is the caller's, nil without accounts or on a public route.
+	// account is the caller's client account, nil without accounts or on a public route.
 	account *fleet.Account
-	// charged is what it counts against its account's quota, 0 once given back, and
-	// chargedUntil until when it can be given back.
+	// charged is the amount counted against the account's quota, 0 once refunded. It can be
+	// refunded until chargedUntil.
 	charged      float64
 	chargedUntil core.Time
-	// asksQuota is set while it waits for room in its account's quota.
-	asksQuota bool
-	// arrived, and limit, when it must have ended.
-	arrived, limit core.Time
-	// firstBy is when the caller leaves if nothing has come.
-	firstBy core.Time
-	// sends counts the servers that it was sent to, arrivals those that may
-	// have read it.
+	// awaitingQuota is set while the request waits for its account's quota.
+	awaitingQuota bool
+	// arrived is when the request arrived, deadline when it must have ended.
+	arrived, deadline core.Time
+	// firstEventDeadline is when the caller cancels if no event has arrived.
+	firstEventDeadline core.Time
+	// sends counts the servers that the request was sent to, arrivals those that may have
+	// received it.
 	sends, arrivals int
 	tried           []string
-	// number is that of the current attempt.
+	// number is the number of the current attempt.
 	number  int
 	backend *backend
 	attempt *attempt
-	// forwarded is set once a part of an answer was passed on.
+	// forwarded is set once part of an answer has been passed on.
 	forwarded bool
-	// mayHaveRun is set unless every server that got it proved that it did not
-	// run.
+	// mayHaveRun is set unless every server that received the request proved that it did
+	// not run it.
 	mayHaveRun bool
 	waiting    *wait
-	// asking is the server for which a permit was asked, at askedAt; granted is the one
-	// for which it was granted.
+	// asking is the server for which a permit was requested, at askedAt. granted is the
+	// server for which a permit was granted.
 	asking, granted *backend
 	askedAt         core.Time
-	// waited is how long it waited for its model, first the time until its
-	// first answer or event; both count from its arrival.
+	// waited is how long the request waited for its model, first the time to its first
+	// answer or event. Both count from its arrival.
 	waited, first time.Duration
-	// cold is where the nearest copy lay of what it waited for, "" if it found
-	// all loaded: memory, disk, store, or adapter.
+	// cold is where the nearest copy of the model was when the request began to wait:
+	// memory, disk, store, or adapter. It is "" if the request did not wait.
 	cold string
 }
 
-// judge decides on a request that came at a time: now, unless it was held.
-func (r *Router) judge(key Key, in fleet.Request, at core.Time) {
-	req := &request{key: key, id: in.ID, fingerprint: in.Fingerprint, prompt: in.Prompt, arrived: at, limit: core.Never}
+// admit decides on a request that arrived at a time: now, unless it was held.
+func (r *Router) admit(key Key, in fleet.Request, at core.Time) {
+	req := &request{key: key, id: in.ID, fingerprint: in.Fingerprint, prompt: in.Prompt, arrived: at, deadline: core.Never}
 	if !r.Ready() {
-		r.finish(req, code.NotReady, unknownReturn, "no configuration is known yet")
+		r.finish(req, code.NotReady, defaultRetryAfter, "no configuration is known yet")
 		return
 	}
-	if r.sheds() {
-		r.finish(req, code.Starved, r.returnIn(starvedReturn), "the process waits "+r.lag.wait.String()+" for the processor")
+	if r.shouldShed() {
+		r.finish(req, code.Starved, r.retryAfterIn(starvedRetryAfter), "the process waits "+r.cpuWait.wait.String()+" for the processor")
 		return
 	}
 	req.route = r.routes.find(in.Host, in.Path)
@@ -126,20 +127,20 @@
 		r.refusePoison(req)
 		return
 	}
-	req.limit = at.Add(req.route.Timeout)
+	req.deadline = at.Add(req.route.Timeout)
 	if in.Deadline > 0 {
-		req.limit = min(req.limit, at.Add(in.Deadline))
+		req.deadline = min(req.deadline, at.Add(in.Deadline))
 	}
-	req.firstBy = req.limit
+	req.firstEventDeadline = req.deadline
 	if req.route.Kind == fleet.Stream {
-		req.firstBy = min(req.limit, at.Add(patience(req.route)))
+		req.firstEventDeadline = min(req.deadline, at.Add(patience(req.route)))
 	}
 	if r.charge(req) {
 		r.accept(req)
 	}
 }
 
-// accept goes on with a request for which its account has room.
+// accept continues with a request that is within its account's quota.
 func (r *Router) accept(req *request) {
 	service := r.service(req.service)
 	service.budget.request(r.now, r.opts.Bounds.RetryWindow)
@@ -154,12 +155,12 @@
 
 // patience is how long a stream's caller waits for the first event.
 func patience(route *fleet.Route) time.Duration {
-	return max(gapLeast, gapObjectives*route.Objective, gapPauses*route.PauseObjective)
+	return max(minGap, gapObjectives*route.Objective, gapPauses*route.PauseObjective)
 }
 
-// dispatch sends a request, or makes it wait for its model, or ends it.
+// dispatch sends a request, queues it until its model is loaded, or ends it.
 func (r *Router) dispatch(req *request) {
-	if r.now >= req.limit {
+	if r.now >= req.deadline {
 		r.giveUp(req, code.DeadlineUnmet, "no time is left")
 		return
 	}
@@ -187,23 +188,23 @@
 	r.send(req, r.choose(req, candidates))
 }
 
-// anyCandidate tells whether any server may get a request.
+// anyCandidate reports whether any server may get a request.
 func (r *Router) anyCandidate(req *request) bool {
-	return slices.ContainsFunc(r.serversOf(req.service), func(b *backend) bool { return r.takes(b, req) })
+	return slices.ContainsFunc(r.serversOf(req.service), func(b *backend) bool { return r.eligible(b, req) })
 }
 
-// takes tells whether a server may get a request, be it left out for failures.
-func (r *Router) takes(b *backend, req *request) bool {
+// eligible reports whether a server may get a request, ignoring ejection for failures.
+func (r *Router) eligible(b *backend, req *request) bool {
 	return b.unlistedAt == 0 && !r.draining(b) && !slices.Contains(req.tried, b.Instance)
 }
 
-// candidatesOf are those of the servers that may get a request and have room for it. If
-// all were left out for failures, they are better than none.
+// candidatesOf returns those of the servers that may get a request and have room for it.
+// Servers ejected for failures are returned only if there are no others.
 func (r *Router) candidatesOf(req *request, servers []*backend) []*backend {
 	var usable, ejected []*backend
 	for _, b := range servers {
 		switch {
-		case !r.takes(b, req) || !r.hasRoom(b):
+		case !r.eligible(b, req) || !r.hasRoom(b):
 		case r.usable(b):
 			usable = append(usable, b)
 		default:
@@ -229,7 +230,7 @@
 	if !r.permitted(req, b, c.spare) {
 		return
 	}
-	if req.arrivals > 0 && !r.takeRepeat(req.service) {
+	if req.arrivals > 0 && !r.takeRetry(req.service) {
 		r.giveUp(req, code.NoBackend, "the budget of repeats is used up")
 		return
 	}
@@ -238,19 +239,19 @@
 	req.number++
 	req.backend = b
 	req.tried = append(req.tried, b.Instance)
-	req.attempt = &attempt{at: r.now, life: b.Incarnation, slowdown: r.slowdown(b), forecast: c.forecast}
+	req.attempt = &attempt{at: r.now, incarnation: b.Incarnation, slowdown: r.slowdown(b), forecast: c.forecast}
 	b.sent[req.key] = req.attempt
 	if req.prompt != nil && r.engine(req.service) != nil {
 		r.promptSent(req)
 	}
 	send := Send{
 		Key: req.key, Attempt: req.number, Instance: b.Instance, Address: b.Address,
-		MaxConns: r.connShare(req.service), Until: req.limit,
+		MaxConns: r.connShare(req.service), Until: req.deadline,
 		Priority: enginePriority(req.rank()),
 		Account:  req.accountName(), HideCredentials: len(r.config.Accounts) > 0,
 	}
 	if req.route.Kind == fleet.Stream && req.route.Resumable {
-		send.StallAfter = max(stallLeast, stallPauses*req.route.PauseObjective)
+		send.StallAfter = max(minStall, stallPauses*req.route.PauseObjective)
 	}
 	r.emit(send)
 	r.countLimited(b)
@@ -260,23 +261,23 @@
 	}
 }
 
-// enginePriority maps a request's rank to an engine's scale of 0 to 9, with room
+// enginePriority maps a request's rank to an engine's priority scale of 0 to 9, with gaps
 // between ranks.
 func enginePriority(rank int) int { return min(9, 1+2*max(0, rank)) }
 
-func (r *Router) takeRepeat(service string) bool {
+func (r *Router) takeRetry(service string) bool {
 	b := r.opts.Bounds
 	slack := b.RetrySlack / float64(r.routers())
 	return r.service(service).budget.take(r.now, b.RetryWindow, b.RetryRatio, slack)
 }
 
-// connShare is this router's part of a server's connections.
+// connShare is this router's share of the connections to a server.
 func (r *Router) connShare(service string) int {
 	all := 0
 	if s := r.config.Services[service]; s != nil {
 		all = s.MaxConns
 	}
-	return max(leastConns, all/r.routers())
+	return max(minConns, all/r.routers())
 }
 
 // release ends the current attempt at its server.
@@ -289,14 +290,14 @@
 	b.queue.Ended(r.now, uint64(req.key))
 	if held := r.holdings(b); held != nil && req.prompt != nil {
 		if m := findHeld(held, req.prompt.Model); m != nil && m.State == core.HoldUnloading {
-			// The loader waits for the last request to end.
+			// The loader unloads the model once the last request has ended.
 			b.loader.dirty = true
 		}
 	}
 	req.backend = nil
 }
 
-// model is the request's model, "" at plain services.
+// model returns the request's model, "" for plain services.
 func (req *request) model() string {
 	if req.prompt == nil {
 		return ""
--- a/internal/router/restart.go
+++ b/internal/router/restart.go
@@ -9,48 +9,48 @@
 	"nutmeglane.example/nutmeglane/internal/work"
 )
 
-// This file handles a backend server that starts again under the instance that it
-// had. The registry, its loader and its answers go on as if nothing had happened,
-// but it holds nothing, and what was there is lost.
+// This file handles a backend server that restarts under the same instance name. Its
+// registry entry, its loader and its answers continue without interruption, but its models,
+// prompts and requests are lost.
 
-// life is the life of the engine that the loader speaks of.
-func (l *loader) life() fleet.Incarnation {
+// incarnation returns the incarnation of the engine that the loader reports on.
+func (l *loader) incarnation() fleet.Incarnation {
 	if l.holdings == nil {
 		return fleet.Incarnation{}
 	}
 	return fleet.Incarnation{Instance: l.holdings.Instance, Born: l.holdings.Born}
 }
 
-// newLife takes in that a server may have begun another life, in which it was
-// born. It reports false for a word of an earlier one, which says nothing of what
-// is there now.
-func (r *Router) newLife(b *backend, life fleet.Incarnation) bool {
-	switch order := life.Compare(b.Incarnation); {
+// observeIncarnation records that a server may have restarted, with the given incarnation.
+// It returns false for a report on an earlier incarnation, which does not describe the
+// present one.
+func (r *Router) observeIncarnation(b *backend, incarnation fleet.Incarnation) bool {
+	switch order := incarnation.Compare(b.Incarnation); {
 	case order < 0:
 		return false
 	case order > 0:
-		r.startedAgain(b, life)
+		r.resetBackend(b, incarnation)
 	case b.Born == 0:
-		b.Born = life.Born
+		b.Born = incarnation.Born
 	}
 	return true
 }
 
-// startedAgain drops all that was known of a server's earlier life in one step.
+// resetBackend drops all state of a server's earlier incarnation in one step.
 //
-// It guards against a server that crashed and is back before anyone missed it: its
-// engine seemed to hold models, prompts and a queue that are gone, so that callers
-// were sent there to be refused, or waited for answers that nobody was at work on.
-func (r *Router) startedAgain(b *backend, life fleet.Incarnation) {
-	r.log(StateChange, "backend server started again", b.attrs("born", life.Born, "born_before", b.Born, "requests", len(b.sent))...)
-	alive := b.aliveAt
+// It guards against a server that crashed and came back before its absence was noticed: its
+// engine seemed to hold models, prompts and a queue that are gone, so that callers were
+// sent there and refused, or waited for answers that no process was working on.
+func (r *Router) resetBackend(b *backend, incarnation fleet.Incarnation) {
+	r.log(StateChange, "backend server restarted", b.attrs("born", incarnation.Born, "born_before", b.Born, "requests", len(b.sent))...)
+	aliveAt := b.aliveAt
 	r.serverEnded(b, "it started again")
 	b.lost, b.endedAt = nil, 0
-	b.Born, b.Models, b.Draining, b.SlowFor = life.Born, nil, false, 0
+	b.Born, b.Models, b.Draining, b.SlowFor = incarnation.Born, nil, false, 0
 	b.queue, b.cache, b.pace = work.Queue{}, work.NewCache(r.kvTokens(b.Service)), 1
 	b.latency, b.load = 0, nil
 	r.dropLimit(b)
-	b.failing, b.failures, b.ejectedUntil = 0, 0, 0
+	b.failureRate, b.failures, b.ejectedUntil = 0, 0, 0
 	b.foundAt, b.aliveAt = r.now, r.now
 	r.reindex(b)
 	if b.loader != nil {
@@ -58,7 +58,7 @@
 	}
 	r.emit(Reconnect{Address: b.Address})
 	for _, key := range slices.Sorted(maps.Keys(b.sent)) {
-		r.lostAtRestart(key, b, alive)
+		r.lostAtRestart(key, b, aliveAt)
 	}
 }
 
@@ -71,13 +71,13 @@
 	l.dirty = true
 }
 
-// lostAtRestart treats a request that waited for an answer of the earlier life as
-// at a crash. One that was sent after the last word of that life may be with the
-// new one, and one whose answer has begun breaks off by itself: their connections
-// tell.
-func (r *Router) lostAtRestart(key Key, b *backend, alive core.Time) {
+// lostAtRestart handles a request that waited for an answer of the earlier incarnation as
+// after a crash. A request that was sent after the last report of that incarnation may be
+// with the new one, and one whose answer has begun breaks off by itself: their connections
+// show the outcome.
+func (r *Router) lostAtRestart(key Key, b *backend, aliveAt core.Time) {
 	req := r.requests[key]
-	if req == nil || req.backend != b || req.attempt.answered || req.attempt.at > alive {
+	if req == nil || req.backend != b || req.attempt.answered || req.attempt.at > aliveAt {
 		return
 	}
 	r.emit(Abandon{Key: key, Attempt: req.number})
@@ -86,6 +86,6 @@
 	req.mayHaveRun = true
 	r.log(SingleRequest, "attempt failed", req.attrs("instance", b.Instance, "attempt", req.number,
 		"failure", Broken.String(), "cause", "the server started again")...)
-	r.lostAt(b, req)
-	r.repeat(req, "the server started again")
+	r.recordLost(b, req)
+	r.retry(req, "the server started again")
 }
--- a/internal/router/restored.go
+++ b/internal/router/restored.go
@@ -9,20 +9,20 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file handles a platform store that comes back from a copy of some seconds ago.
-// What was written since is gone, and its writers write it again: operators the
-// configuration, backend servers their entries, routers what they keep there. Until then
-// the copy says less than what this router knows.
+// This file handles a platform store that is restored from a copy that is some seconds old.
+// Later writes are lost, and their writers repeat them: operators the configuration,
+// backend servers their entries, routers what they store there. Until then the copy
+// contains less than this router knows.
 
-// storeWentBack gives servers whose entries the copy lacks the time to register again, as
+// storeRestored gives servers whose entries the copy lacks the time to register again, as
 // after an outage, and writes again what this router had written.
 //
-// Each router writes its own evidence only: written by all who know it, one poison request
-// would cost as many calls as there are routers, just when the store comes back.
-func (r *Router) storeWentBack(to core.StorePosition) {
+// Each router writes only its own evidence: written by all routers that have it, one poison
+// request would cost as many calls as there are routers, just when the store comes back.
+func (r *Router) storeRestored(to core.StorePosition) {
 	r.log(StateChange, "platform store went back to a copy of before", slog.String("position", to.String()),
 		slog.Int("backends", len(r.backends)))
-	r.storeBack = r.now
+	r.storeBackAt = r.now
 	for _, f := range slices.Sorted(maps.Keys(r.published)) {
 		if r.ledger.Own(f) {
 			r.publish(f)
@@ -30,12 +30,12 @@
 	}
 }
 
-// restoreBackends takes in the copy's registry, but for what is known to be older than
+// restoreBackends applies the copy's registry, except for entries known to be older than
 // what this router has seen.
 //
-// It guards against servers that left within the time that the copy lacks: its entries say
-// that they are there, and they would get requests again for as long as nobody removes
-// these. A server that is there writes its entry itself within a heartbeat.
+// It guards against servers that left within the time that the copy lacks: the copy still
+// lists them, and they would get requests again until their entries are removed. A server
+// that is present writes its entry again within a heartbeat.
 func (r *Router) restoreBackends(list map[string]fleet.Backend) {
 	known := map[string]fleet.Backend{}
 	for instance, entry := range list {
@@ -43,7 +43,7 @@
 		switch {
 		case b == nil || entry.Compare(b.Incarnation) > 0:
 		case b.unlistedAt != 0:
-			r.log(StateChange, "entry of a server that has left is not taken from the copy", b.attrs()...)
+			r.log(StateChange, "restored entry ignored: the server had already left", b.attrs()...)
 			continue
 		case b.Draining:
 			entry.Draining = true
--- a/internal/router/restored_test.go
+++ b/internal/router/restored_test.go
@@ -8,8 +8,8 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// goBack lets the store come back from a copy that lists the servers.
-func (w *world) goBack(list ...fleet.Backend) {
+// restoreStore restores the store from a copy that lists the given servers.
+func (w *fixture) restoreStore(list ...fleet.Backend) {
 	w.t.Helper()
 	copied := map[string]fleet.Backend{}
 	for _, entry := range list {
@@ -19,19 +19,19 @@
 	w.step(BackendsRestored{Backends: copied})
 }
 
-// listed tells whether a server may get requests.
-func (w *world) listed(instance string) bool {
+// listed reports whether a server may get requests.
+func (w *fixture) listed(instance string) bool {
 	b := w.router.backends[instance]
 	return b != nil && b.unlistedAt == 0 && !w.router.draining(b)
 }
 
-// Two servers registered within the seconds that the store's copy lacks. Dropped at once,
-// their callers would be refused though they are there; they write their entries again
-// within two seconds. One that does not is gone.
+// Two servers registered within the seconds that the store's copy lacks. If they were
+// dropped at once, their callers would be refused although the servers are present; they
+// write their entries again within two seconds. A server that does not is removed.
 func TestServersThatACopyLacksMayRegisterAgain(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 3)
-	w.goBack(w.server(plainService, 0))
+	w.restoreStore(w.server(plainService, 0))
 	for _, instance := range []string{"s0", "s1", "s2"} {
 		if !w.listed(instance) {
 			t.Errorf("%s gets no requests", instance)
@@ -45,11 +45,11 @@
 	}
 }
 
-// One server announced that it leaves, and another one left, within the seconds that the
-// store's copy lacks. The copy says that both are ready. Taken at its word, they would get
-// requests again, of which the first is cut and the second refused.
-func TestACopyBringsNoServerBack(t *testing.T) {
-	w := newWorld(t)
+// One server announced that it is draining, and another one left, within the seconds that
+// the store's copy lacks. The copy lists both as ready. If it were trusted, they would get
+// requests again; those to the first would be cut off and those to the second refused.
+func TestCopyDoesNotRestoreServers(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 3)
 	leaving := w.server(plainService, 1)
 	leaving.Draining = true
@@ -59,7 +59,7 @@
 		w.router.backends["s2"].sent[Key(1000+i)] = &attempt{}
 	}
 	w.step(BackendsChanged{Removed: map[string]bool{"s2": true}})
-	w.goBack(w.server(plainService, 0), w.server(plainService, 1), w.server(plainService, 2))
+	w.restoreStore(w.server(plainService, 0), w.server(plainService, 1), w.server(plainService, 2))
 	if !w.listed("s0") || w.listed("s1") || w.listed("s2") {
 		t.Errorf("listed: s0 %t, s1 %t, s2 %t", w.listed("s0"), w.listed("s1"), w.listed("s2"))
 	}
@@ -69,13 +69,13 @@
 	}
 }
 
-// A key was taken away within the seconds that the store's copy lacks. The copy still has
-// it, at an older version: the key must stay refused.
-func TestACopyBringsNoKeyBack(t *testing.T) {
-	w := newAccountsWorld(t)
+// A key was removed within the seconds that the store's copy lacks. The copy still has it,
+// at an older version: the key must stay refused.
+func TestCopyDoesNotRestoreKeys(t *testing.T) {
+	w := newAccountsFixture(t)
 	w.step(ConfigRead{Config: accountsConfig(3)})
 	w.step(ConfigRead{Config: accountsConfig(2, validKey)})
-	w.goBack(w.server(plainService, 0), w.server(plainService, 1))
+	w.restoreStore(w.server(plainService, 0), w.server(plainService, 1))
 	key := w.callWith("once", validKey)
 	w.confirm()
 	if len(w.sends[key]) > 0 || w.router.ConfigVersion() != 3 {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// tickInterval is how often deadlines, waits and loaders are looked at. It
-	// is far below the shortest objective in use (150 ms).
+	// tickInterval is the interval at which deadlines, waits and loaders are checked. It is
+	// far below the shortest objective in use (150 ms).
 	tickInterval = 50 * time.Millisecond
 )
 
-// Options are fixed for the life of a router.
+// Options are fixed for the lifetime of a router.
 type Options struct {
-	// Host is this router's name to loaders.
+	// Host is the name under which loaders know this router.
 	Host core.HostID
 	Zone core.Zone
-	// Processor is this process's share of a processor, 0 if not told. The strongest
-	// coordinates.
+	// Processor is this process's share of a processor, 0 if unknown. The router with the
+	// largest share coordinates.
 	Processor float64
 	// LoaderPort is the port of the loader on each engine's host.
 	LoaderPort int
 	Bounds     fleet.Bounds
-	// Seed of the spread of Retry-After.
+	// Seed seeds the random spread of Retry-After.
 	Seed uint64
 }
 
@@ -46,55 +46,61 @@
 	routes   routeTable
 	services map[string]*service
 	backends map[string]*backend
-	// byService groups backends; nil after a change of their set, until used.
+	// byService groups backends by service. It is nil after a change of the set and rebuilt
+	// on use.
 	byService map[string][]*backend
-	// byAddress lists them by address.
+	// byAddress groups backends by address.
 	byAddress map[string][]*backend
-	// registryRead is set once the registry was read.
+	// registryRead is set once the registry has been read.
 	registryRead bool
-	// storeDown is since when the store does not answer, 0 while it does.
-	storeDown core.Time
-	// turnedAway is since when it does not answer this router, whomever else it answers;
-	// 0 while it does.
-	turnedAway core.Time
-	// storeBack is when it last came back, 0 if it never was away.
-	storeBack core.Time
-	// storeHeard is when it last answered this router or, by its news, another.
-	storeHeard core.Time
+	// storeDownSince is since when the store is considered unreachable, 0 while it is
+	// reachable. A failed read of this router's own sets it; news that another router has
+	// read the store clears it.
+	storeDownSince core.Time
+	// ownReadsFailSince is when this router's own reads of the store began to fail, whether
+	// or not other routers can read it; 0 while they succeed.
+	ownReadsFailSince core.Time
+	// storeBackAt is when the store last became reachable again, 0 if it never was
+	// unreachable.
+	storeBackAt core.Time
+	// storeAnsweredAt is when the store last answered this router or, according to received
+	// news, another router.
+	storeAnsweredAt core.Time
 
 	loaders map[core.HostID]*loader
-	// loaderList are they in the order of their names; nil after a change of the
-	// set, until used. Each step goes through them.
+	// loaderList holds the loaders sorted by name, since each step iterates over them. It
+	// is nil after a change of the set and rebuilt on use.
 	loaderList []*loader
-	// steps counts the steps, knownRouters is routers as worked out in the step
-	// routersAt.
-	steps, routersAt uint64
-	knownRouters     int
-	requests         map[Key]*request
-	waits            map[waitKey]*wait
+	// steps counts the steps. knownRouters caches the result of routers, computed in step
+	// routersStep.
+	steps, routersStep uint64
+	knownRouters       int
+	requests           map[Key]*request
+	waits              map[waitKey]*wait
 
-	// limited are the servers that name a limit, in the order of their instances.
+	// limited holds the servers that name a limit, sorted by instance.
 	limited []*backend
 
-	lag lag
-	// digests are the coordinator's words on all loads, in a large fleet.
+	cpuWait cpuWait
+	// digests is the state of the coordinator's digests of all loads, used in a large
+	// fleet.
 	digests digests
 
 	callers callers
-	// heard is the newest configuration that was heard of.
-	heard heardConfig
-	// gate bounds what client accounts use, and accountLabels are the accounts that have
-	// metrics of their own.
+	// announced is the newest configuration version that another process announced.
+	announced announcedConfig
+	// gate enforces the quotas of client accounts. accountLabels holds the accounts that
+	// have metrics of their own.
 	gate          *quota.Gate
 	accountLabels map[string]bool
-	// quotaOrder is the order in which loaders are to keep the bounds; nil after a change of
-	// the loaders, until used.
+	// quotaOrder is the order of preference of the loaders that keep the quotas. It is nil
+	// after a change of the loaders and rebuilt on use.
 	quotaOrder []*loader
 
-	// ledger is what is known of servers that ended while requests ran there.
+	// ledger records servers that ended while requests ran on them.
 	ledger *poison.Ledger
-	// published is when this router last saw to it that a poison request is kept in
-	// the platform's store.
+	// published is when this router last made sure that a poison request is recorded in the
+	// platform's store.
 	published map[core.Fingerprint]core.Time
 
 	// stopAt is when the process ends, Never unless it is stopping.
@@ -107,36 +113,37 @@
 type service struct {
 	name   string
 	budget budget
-	// latency is the moving average over the servers of a plain service.
+	// latency is the moving average over all servers of a plain service.
 	latency time.Duration
 	speed   speed
-	// work is how fast its engines read, meanReading the moving average of the
-	// time that a generation takes to be read.
+	// work estimates how fast the engines read prompts. meanReading is the moving average
+	// of the time that reading a prompt takes.
 	work        work.Speed
 	meanReading time.Duration
-	// rates are recent arrivals by model and adapter.
+	// rates holds the arrival rates by model and adapter.
 	rates map[modelKey]*rate
-	// all are the arrivals for all models.
+	// all is the arrival rate for all models together.
 	all rate
-	// firstArrival is when the first generation arrived in this process's life.
+	// firstArrival is when this process received its first generation request.
 	firstArrival core.Time
 	store        storeState
 	// withoutLoader is set while no engine has a loader that answers.
 	withoutLoader bool
-	// busyUntil is until when models count as busy.
+	// busyUntil is the time until which each model counts as busy.
 	busyUntil map[string]core.Time
-	// spec is what loaders are to know of its engines, nil for a plain service.
+	// spec is the configuration of its engines that loaders receive, nil for a plain
+	// service.
 	spec *core.EngineSpec
-	// models is the index of engines by model.
+	// models indexes engines by model.
 	models map[string]*modelEngines
-	// needs are the copies of models, as worked out last.
+	// needs caches the number of copies that each model needs.
 	needs map[string]copyNeed
 }
 
-// modelKey names a model, or an adapter of it.
+// modelKey identifies a model, or an adapter of it.
 type modelKey struct{ model, adapter string }
 
-// New returns a router that knows nothing yet.
+// New returns a router without configuration or known backend servers.
 func New(opts Options) *Router {
 	return &Router{
 		opts:     opts,
@@ -154,7 +161,7 @@
 	}
 }
 
-// Step handles an event. The effects are valid until the next step.
+// Step handles an event. The returned effects are valid until the next step.
 func (r *Router) Step(now core.Time, event Event) []Effect {
 	r.now, r.out = now, r.out[:0]
 	r.steps++
@@ -163,25 +170,25 @@
 	case ConfigRead:
 		r.setConfig(e.Config)
 	case ConfigAnnounced:
-		r.configHeard(e.Version)
+		r.configAnnounced(e.Version)
 	case ConfigConfirmed:
 		r.configConfirmed(e.AsOf)
 	case BackendsRead:
 		r.readBackends(e.Backends)
 	case StoreRestored:
-		r.storeWentBack(e.To)
+		r.storeRestored(e.To)
 	case BackendsRestored:
 		r.restoreBackends(e.Backends)
 	case BackendsChanged:
 		r.changeBackends(e.Written, e.Removed)
 	case PoisonReported:
-		r.poisonHeard(e.News)
+		r.poisonReported(e.News)
 	case LiftPoison:
-		r.lift(e.Fingerprint)
+		r.liftPoison(e.Fingerprint)
 	case NewsReceived:
-		r.changedByNews(e.News)
+		r.applyNews(e.News)
 	case StoreState:
-		r.ownRead(e.Reachable)
+		r.ownStoreRead(e.Reachable)
 	case Stopping:
 		r.stop(e.Until)
 	case LoaderUp:
@@ -189,19 +196,19 @@
 	case LoaderDown:
 		r.loaderDown(e.Loader)
 	case LoaderReported:
-		r.loaderSaid(e.Loader, e.Holdings)
+		r.loaderReported(e.Loader, e.Holdings)
 	case LoaderCountsReported:
-		r.loaderCounted(e.Loader, e.Counts)
+		r.loaderCountsReported(e.Loader, e.Counts)
 	case DigestReceived:
-		r.digestHeard(e.Digest)
+		r.digestReceived(e.Digest)
 	case LoaderSpecRequested:
-		r.loaderWantsSpec(e.Loader)
+		r.loaderSpecRequested(e.Loader)
 	case LoaderAnsweredQuota:
 		r.gate.Hear(now, e.Loader, e.Answer)
 	case LoaderAnsweredLimit:
-		r.limitTold(e)
+		r.limitAnswered(e)
 	case Arrived:
-		r.judge(e.Key, e.Request, now)
+		r.admit(e.Key, e.Request, now)
 	case AttemptFailed:
 		r.attemptFailed(e)
 	case Stalled:
@@ -213,16 +220,16 @@
 	case Done:
 		r.done(e)
 	case CallerLeft:
-		r.gone(e.Key)
+		r.callerLeft(e.Key)
 	case CPUWaitMeasured:
-		r.lagged(e)
+		r.cpuWaitMeasured(e)
 	}
 	if now >= r.nextTick {
 		r.nextTick = now.Add(tickInterval)
 		r.tick()
 	}
-	r.settleQuotas()
-	r.tellLoaders()
+	r.applyQuotaDecisions()
+	r.sendDemands()
 	r.emit(Wake{At: r.nextTick})
 	return r.out
 }
@@ -233,11 +240,11 @@
 	r.emit(Log{About: about, Message: message, Attrs: attrs})
 }
 
-// Ready reports whether the router can judge requests: it knows a
-// configuration and has read the registry.
+// Ready reports whether the router can handle requests: it has a configuration and has read
+// the registry.
 func (r *Router) Ready() bool { return r.config != nil && r.registryRead }
 
-// Limits returns what clients may send; zero before a configuration is known.
+// Limits returns the limits on what clients may send, zero before a configuration is known.
 func (r *Router) Limits() fleet.Limits {
 	if r.config == nil {
 		return fleet.Limits{}
@@ -245,7 +252,7 @@
 	return r.config.Limits
 }
 
-// ConfigVersion is the version of the configuration in force, 0 without one.
+// ConfigVersion returns the version of the configuration in force, 0 without one.
 func (r *Router) ConfigVersion() int64 {
 	if r.config == nil {
 		return 0
@@ -253,15 +260,15 @@
 	return r.config.Version
 }
 
-// SetBounds replaces the bounds, after a change of the settings.
+// SetBounds replaces the bounds after a change of the settings.
 func (r *Router) SetBounds(bounds fleet.Bounds) {
 	r.opts.Bounds = bounds
 	r.gate.SetBounds(quotaBounds(bounds))
 }
 
 func (r *Router) setConfig(config *fleet.Config) {
-	// Guards against going back: a read that was under way during a change may
-	// deliver the older version after the newer one.
+	// Guards against reverting to an older version: a read that was in progress during a
+	// change may deliver the older version after the newer one.
 	if r.config != nil && config.Version <= r.config.Version {
 		return
 	}
@@ -275,7 +282,7 @@
 	r.setAccounts(config.Accounts)
 	r.log(StateChange, "configuration in force", slog.Int64("version", config.Version),
 		slog.Int("routes", len(config.Routes)), slog.Int("services", len(config.Services)))
-	r.pumpAll()
+	r.recheckAllWaits()
 }
 
 func (r *Router) service(name string) *service {
@@ -294,7 +301,7 @@
 	return r.config.Services[service].Engine
 }
 
-// serversOf returns the known servers of a service in a fixed order.
+// serversOf returns the known servers of a service, sorted by instance.
 func (r *Router) serversOf(service string) []*backend {
 	if r.byService == nil {
 		r.byService = map[string][]*backend{}
@@ -315,11 +322,11 @@
 	r.checkHeld()
 	r.tickQuotas()
 	r.checkRequests()
-	r.tellLimited()
+	r.logLimitedSends()
 	if r.now >= r.nextPlan {
 		r.nextPlan = r.now.Add(planInterval)
-		r.forgetPoison()
+		r.expirePoison()
 		r.plan()
 	}
-	r.pumpAll()
+	r.recheckAllWaits()
 }
--- a/internal/router/routes.go
+++ b/internal/router/routes.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// target picks a service by weight. The same request id always gets the same.
+// target picks a service by weight. The result is always the same for the same request id.
 func target(route *fleet.Route, requestID string) string {
 	total := 0.0
 	for _, t := range route.Targets {
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -9,20 +9,21 @@
 	"nutmeglane.example/nutmeglane/internal/limit"
 )
 
-// This file takes in what backend servers tell of the requests a second that they take
-// from all routers together, and tells the loader that counts for them. See package limit.
+// This file processes the limits that backend servers announce, in requests per second from
+// all routers together, and reports them to the loader that counts the requests. See
+// package limit.
 
-// limitLineInterval is the time between two lines on what was sent to a server that has a
-// limit, and on limits of one server that can't be read.
-const limitLineInterval = 4 * time.Second
+// limitLogInterval is the time between two log lines on the requests sent to a server that
+// has a limit, and on malformed limits of one server.
+const limitLogInterval = 4 * time.Second
 
-// serverLimit is what this router knows of one server's limit.
+// serverLimit is this router's state of one server's limit.
 type serverLimit struct {
 	gate *limit.Gate
-	// sent counts the requests that it sent there since countedAt.
+	// sent counts the requests sent to the server since countedAt.
 	sent      int
 	countedAt core.Time
-	// malformedAt is when a limit that can't be read was last logged.
+	// malformedAt is when a malformed limit was last logged.
 	malformedAt core.Time
 }
 
@@ -36,42 +37,42 @@
 	return named
 }
 
-// noteLimit takes in what an answer tells of its server's limit. An answer to a request
-// that was sent in an earlier life tells of that one, and one of another server that has
-// the address now tells of that server.
+// noteLimit processes the limit in an answer. It ignores an answer to a request that was
+// sent to an earlier incarnation, and one of another server that has taken over the
+// address.
 func (r *Router) noteLimit(req *request, answer fleet.Answer) {
 	b := req.backend
-	if answer.Absent || req.attempt.life.Compare(b.Incarnation) != 0 {
+	if answer.Absent || req.attempt.incarnation.Compare(b.Incarnation) != 0 {
 		return
 	}
 	if answer.Limit.State == fleet.LimitMalformed {
 		r.limitMalformed(b, answer.Limit.Text)
 		return
 	}
-	r.hearLimit(b, "its answer", limit.Word{
+	r.applyLimit(b, "its answer", limit.Word{
 		Named: answer.Limit.State == fleet.LimitNamed, PerSecond: answer.Limit.PerSecond,
 		Sent: req.attempt.at, Heard: r.now,
 	})
 }
 
-// limitTold takes in what the loader that counts tells of a server's limit.
-func (r *Router) limitTold(e LoaderAnsweredLimit) {
+// limitAnswered processes a message from the loader that counts the requests to a server.
+func (r *Router) limitAnswered(e LoaderAnsweredLimit) {
 	b := r.backends[e.Answer.Server.Instance]
 	if b == nil {
 		return
 	}
-	life := fleet.Incarnation{Instance: e.Answer.Server.Instance, Born: e.Answer.Server.Born}
-	if life.Compare(b.Incarnation) == 0 {
-		r.hearLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Answer.Word))
+	incarnation := fleet.Incarnation{Instance: e.Answer.Server.Instance, Born: e.Answer.Server.Born}
+	if incarnation.Compare(b.Incarnation) == 0 {
+		r.applyLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Answer.Word))
 	}
 	if e.Answer.Ask != 0 {
 		r.permitAnswered(b, e.Answer)
 	}
 }
 
-// hearLimit takes in a word on a server's limit. A change is logged and told to the loader
-// that counts.
-func (r *Router) hearLimit(b *backend, source string, word limit.Word) {
+// applyLimit applies a report on a server's limit. A change is logged and sent to the
+// loader that counts.
+func (r *Router) applyLimit(b *backend, source string, word limit.Word) {
 	before, wasLimited := b.limit.gate.Limit()
 	if !b.limit.gate.Hear(r.now, word) {
 		return
@@ -89,10 +90,10 @@
 	r.emit(Count{core.Count{Name: metricServerLimits, Labels: []string{b.Service, change}, Add: 1}})
 	r.log(StateChange, "backend server's limit", b.attrs("born", b.Born, "change", change, "per_second", now, "before", before,
 		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "source", source, "under_way", len(b.sent))...)
-	r.tellKeeper(b)
+	r.sendLimit(b)
 }
 
-// limitChange names what became of a limit, for logs and metrics.
+// limitChange classifies the change of a limit, for logs and metrics.
 func limitChange(wasLimited bool, before float64, limited bool, now float64) string {
 	switch {
 	case !limited:
@@ -106,28 +107,29 @@
 	}
 }
 
-// dropLimit forgets a server's limit: it ended with the life that named it.
+// dropLimit resets a server's limit, which ends with the incarnation that announced it.
 func (r *Router) dropLimit(b *backend) {
 	r.limited = without(r.limited, b)
 	b.limit = r.newServerLimit(b.Instance)
 }
 
-// limitMalformed counts a limit that can't be read, and logs it now and then.
+// limitMalformed counts a malformed limit, and logs it at most once per limitLogInterval.
 func (r *Router) limitMalformed(b *backend, text string) {
 	r.emit(Count{core.Count{Name: metricServerLimits, Labels: []string{b.Service, "malformed"}, Add: 1}})
-	if l := &b.limit; l.malformedAt == 0 || r.now.Sub(l.malformedAt) >= limitLineInterval {
+	if l := &b.limit; l.malformedAt == 0 || r.now.Sub(l.malformedAt) >= limitLogInterval {
 		l.malformedAt = r.now
-		r.log(StateChange, "backend server's limit can't be read; it changes nothing", b.attrs("text", text)...)
+		r.log(StateChange, "backend server's limit malformed; ignored", b.attrs("text", text)...)
 	}
 }
 
-// keeperOf is the loader that counts for all routers what is sent to a server, nil while
-// it can't be reached. An engine's is the one beside it. A plain service's server has none:
-// all routers that know the same engines take the same loader by rendezvous hashing.
-func (r *Router) keeperOf(b *backend) *loader {
+// limitLoader returns the loader that counts, for all routers, the requests sent to a
+// server, nil while it can't be reached. For an engine it is the loader beside it. A plain
+// service's server has none: all routers that know the same engines choose the same loader
+// by rendezvous hashing.
+func (r *Router) limitLoader(b *backend) *loader {
 	keeper := b.loader
 	if keeper == nil {
-		keeper = r.plainKeeper(b)
+		keeper = r.plainLimitLoader(b)
 	}
 	if keeper == nil || !keeper.up {
 		return nil
@@ -135,7 +137,7 @@
 	return keeper
 }
 
-func (r *Router) plainKeeper(b *backend) (keeper *loader) {
+func (r *Router) plainLimitLoader(b *backend) (keeper *loader) {
 	var best uint64
 	for _, l := range r.sortedLoaders() {
 		score := core.Score(b.Instance, string(l.name))
@@ -146,31 +148,31 @@
 	return keeper
 }
 
-// tellKeeper tells the loader that counts what is known of a server's limit, and what was
-// sent there that it did not count.
-func (r *Router) tellKeeper(b *backend) {
-	if keeper := r.keeperOf(b); keeper != nil {
-		r.emit(AskLimit{Loader: keeper.name, Ask: r.limitWord(b)})
+// sendLimit sends the loader that counts what is known of a server's limit, and the
+// requests sent there that the loader did not count.
+func (r *Router) sendLimit(b *backend) {
+	if keeper := r.limitLoader(b); keeper != nil {
+		r.emit(AskLimit{Loader: keeper.name, Ask: r.limitMessage(b)})
 	}
 }
 
-// tellLimits tells a loader that has just connected of the limits that it counts for.
-func (r *Router) tellLimits(l *loader) {
+// sendLimits sends a loader that has just connected the limits that it counts for.
+func (r *Router) sendLimits(l *loader) {
 	for _, b := range r.limited {
-		if r.keeperOf(b) == l {
+		if r.limitLoader(b) == l {
 			b.limit.gate.LoaderBack(r.now)
-			r.tellKeeper(b)
+			r.sendLimit(b)
 		}
 	}
 }
 
-func (r *Router) limitWord(b *backend) core.LimitAsk {
+func (r *Router) limitMessage(b *backend) core.LimitAsk {
 	return core.LimitAsk{
-		Server: lifeOf(b.Incarnation), Word: b.limit.gate.Told(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
+		Server: serverLife(b.Incarnation), Word: b.limit.gate.Told(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
 	}
 }
 
-// countLimited counts a request that is sent to a server with a limit.
+// countLimited counts a request sent to a server with a limit.
 func (r *Router) countLimited(b *backend) {
 	if !b.limited() {
 		return
@@ -179,11 +181,11 @@
 	r.emit(Count{core.Count{Name: metricLimitedSends, Labels: []string{b.Service}, Add: 1}})
 }
 
-// tellLimited logs from time to time what was sent to servers with a limit.
-func (r *Router) tellLimited() {
+// logLimitedSends logs at intervals how many requests were sent to servers with a limit.
+func (r *Router) logLimitedSends() {
 	for _, b := range r.limited {
 		l := &b.limit
-		if r.now.Sub(l.countedAt) < limitLineInterval {
+		if r.now.Sub(l.countedAt) < limitLogInterval {
 			continue
 		}
 		perSecond, _ := l.gate.Limit()
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -12,9 +12,8 @@
 	"nutmeglane.example/nutmeglane/internal/limit"
 )
 
-// answerLimited lets the answer of a request's server come, with what it tells of its
-// limit.
-func (w *world) answerLimited(key Key, told fleet.ToldLimit) {
+// answerLimited delivers the answer of a request's server, with a report of its limit.
+func (w *fixture) answerLimited(key Key, told fleet.ToldLimit) {
 	w.t.Helper()
 	send := w.lastSend(key)
 	w.step(Answered{Key: key, Attempt: send.Attempt, Answer: fleet.Answer{Status: 200, Limit: told}})
@@ -25,8 +24,8 @@
 	return fleet.ToldLimit{State: fleet.LimitNamed, PerSecond: perSecond}
 }
 
-// logged returns the lines with a message.
-func (w *world) logged(message string) []Log {
+// logged returns the log lines with a message.
+func (w *fixture) logged(message string) []Log {
 	return slices.DeleteFunc(slices.Clone(w.logs), func(l Log) bool { return l.Message != message })
 }
 
@@ -39,35 +38,36 @@
 	return line.Attrs[i].Value.Any()
 }
 
-// An operator asks afterwards which server named a limit, since when this router has known
-// it, and what it sent there. A limit that can't be read changes nothing.
-func TestLimitOfAServerIsSeen(t *testing.T) {
-	w := newWorld(t)
+// The logs must show which server named a limit, since when this router has known it, and
+// how many requests it sent there. A malformed limit must be ignored.
+func TestLimitIsLoggedAndDumped(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 1)
 	w.answerLimited(w.call("once", nil), limitedTo(3))
 	w.answerLimited(w.call("once", nil), fleet.ToldLimit{State: fleet.LimitMalformed, Text: "-1"})
-	w.run(limitLineInterval)
+	w.run(limitLogInterval)
 
 	lines := w.logged("backend server's limit")
 	if len(lines) != 1 || attrOf(t, lines[0], "change") != "named" || attrOf(t, lines[0], "per_second") != 3.0 {
 		t.Errorf("lines on the limit: %+v, want one that it was named as 3", lines)
 	}
-	if lines := w.logged("backend server's limit can't be read; it changes nothing"); len(lines) != 1 {
-		t.Errorf("lines on a limit that can't be read: %+v, want 1", lines)
+	if lines := w.logged("backend server's limit malformed; ignored"); len(lines) != 1 {
+		t.Errorf("lines on a malformed limit: %+v, want 1", lines)
 	}
 	if lines := w.logged("requests sent to a server with a limit"); len(lines) != 1 || attrOf(t, lines[0], "sent") != int64(1) {
-		t.Errorf("lines on what was sent: %+v, want one that tells 1", lines)
+		t.Errorf("lines on the requests sent: %+v, want one with 1", lines)
 	}
 	state := w.router.Dump().Backends[0]
 	if state.LimitPerSecond == nil || *state.LimitPerSecond != 3 || state.LimitKnownFor < time.Second {
-		t.Errorf("the dump tells a limit of %v, known for %v", state.LimitPerSecond, state.LimitKnownFor)
+		t.Errorf("the dump has a limit of %v, known for %v", state.LimitPerSecond, state.LimitKnownFor)
 	}
 }
 
-// limitedWorld has an engine with a loader and so many servers of a plain service, s0 of
-// which has named a limit. The loader counts for it.
-func limitedWorld(t *testing.T, plain int, perSecond float64) *world {
-	w := newWorld(t)
+// newLimitedFixture returns a router with an engine that has a loader and with the given
+// number of servers of a plain service, of which s0 has named a limit. The loader counts
+// for it.
+func newLimitedFixture(t *testing.T, plain int, perSecond float64) *fixture {
+	w := newFixture(t)
 	list := map[string]fleet.Backend{"engine": {
 		Incarnation: fleet.Incarnation{Instance: "engine"}, Service: engineService, Zone: "a", Slots: 64, Address: "10.9.0.1:8000",
 	}}
@@ -80,16 +80,16 @@
 	return w
 }
 
-// limitS0 lets the loader tell that s0 has named a limit.
-func (w *world) limitS0(perSecond float64) {
+// limitS0 makes the loader report that s0 has named a limit.
+func (w *fixture) limitS0(perSecond float64) {
 	w.t.Helper()
 	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitTold{
 		Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: perSecond, SentAgo: 2, HeardAgo: 1},
 	}})
 }
 
-// lastAsk is the last question for a permit.
-func (w *world) lastAsk() core.LimitAsk {
+// lastAsk returns the last request for a permit.
+func (w *fixture) lastAsk() core.LimitAsk {
 	w.t.Helper()
 	if len(w.limitAsks) == 0 || w.limitAsks[len(w.limitAsks)-1].Ask.Ask == 0 {
 		w.t.Fatalf("nothing was asked: %+v", w.limitAsks)
@@ -97,8 +97,8 @@
 	return w.limitAsks[len(w.limitAsks)-1].Ask
 }
 
-// answerAsk answers the last question for a permit.
-func (w *world) answerAsk(granted bool, room time.Duration) {
+// answerAsk answers the last request for a permit.
+func (w *fixture) answerAsk(granted bool, room time.Duration) {
 	w.t.Helper()
 	ask := w.lastAsk()
 	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitTold{
@@ -106,10 +106,10 @@
 	}})
 }
 
-// A server takes 2 requests a second from all routers together. Each one that is sent
-// there needs the loader's permit; it is sent once that is granted.
+// A server takes 2 requests a second from all routers together. Each request to it needs
+// the loader's permit, and must be sent once that is granted.
 func TestRequestToALimitedServerNeedsAPermit(t *testing.T) {
-	w := limitedWorld(t, 1, 2)
+	w := newLimitedFixture(t, 1, 2)
 	key := w.call("once", nil)
 	if len(w.sends[key]) > 0 {
 		t.Fatal("sent without a permit")
@@ -120,41 +120,43 @@
 	}
 }
 
-// A permit is refused. Another server takes the request; where there is none, its caller is
-// told at once when there will be room, and what comes until then is refused unasked.
+// A permit is refused. Another server must take the request; if there is none, its caller
+// must be told at once when there will be room, and further requests until then must be
+// refused without asking the loader.
 func TestRequestWithoutAPermitGoesElsewhereOrIsRefused(t *testing.T) {
-	w := limitedWorld(t, 2, 2)
-	w.router.backends["s1"].failing = 0.9 // so that s0 is chosen first
+	w := newLimitedFixture(t, 2, 2)
+	w.router.backends["s1"].failureRate = 0.9 // so that s0 is chosen first
 	key := w.call("once", nil)
 	w.answerAsk(false, time.Second)
 	if send := w.lastSend(key); send.Instance != "s1" {
 		t.Errorf("sent to %s, want s1", send.Instance)
 	}
 
-	w = limitedWorld(t, 1, 2)
+	w = newLimitedFixture(t, 1, 2)
 	key = w.call("once", nil)
 	w.answerAsk(false, time.Second)
 	for i, key := range []Key{key, w.call("once", nil), w.call("once", nil)} {
 		f := w.finishes[key]
-		// One permit, half a second, later each, and up to 0.3 of that more by chance.
+		// Each request is refused until one permit, half a second, later than the one
+		// before it, plus a random part of up to 0.3.
 		least := time.Second + time.Duration(i)*500*time.Millisecond
 		if f.Code != code.AtLimit || f.RetryAfter < least || f.RetryAfter > least*13/10 {
-			t.Errorf("request %d ended with %v, to come back in %v; want %v", i, f.Code, f.RetryAfter, least)
+			t.Errorf("request %d ended with %v, Retry-After %v; want %v", i, f.Code, f.RetryAfter, least)
 		}
 	}
-	if n := len(w.limitAsks); n != 2 { // the word on connecting news, and one question
-		t.Errorf("%d words to the loader, want 2", n)
+	if n := len(w.limitAsks); n != 2 { // the report on connecting, and one permit request
+		t.Errorf("%d messages to the loader, want 2", n)
 	}
 	w.run(time.Second)
 	w.call("once", nil)
 	if n := len(w.limitAsks); n != 3 {
-		t.Errorf("%d words to the loader once there should be room, want 3", n)
+		t.Errorf("%d messages to the loader once there should be room, want 3", n)
 	}
 }
 
-// Servers that name no limit are asked for by nobody, and every request goes out at once.
+// Servers that name no limit need no permit, and every request must be sent at once.
 func TestServersWithoutALimitNeedNoPermit(t *testing.T) {
-	w := limitedWorld(t, 3, 0)
+	w := newLimitedFixture(t, 3, 0)
 	w.limitAsks = nil
 	w.router.backends["s0"].ejectedUntil = w.now.Add(time.Hour)
 	for range 20 {
@@ -166,22 +168,22 @@
 }
 
 // A stream breaks off and is to be resumed at an engine with a limit, and a request has
-// waited for its model there: both take a permit as a first attempt does.
+// waited for its model there: both need a permit like a first attempt.
 func TestResumedAndWaitingRequestsNeedAPermit(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
-	w.holds(0, core.Holdings{Instance: "s0", FreeMB: 80_000, OnDisk: []string{"m1"}})
-	w.holds(1, core.Holdings{Instance: "s1", Models: loadedModels("m1")})
+	w.reportHoldings(0, core.Holdings{Instance: "s0", FreeMB: 80_000, OnDisk: []string{"m1"}})
+	w.reportHoldings(1, core.Holdings{Instance: "s1", Models: loadedModels("m1")})
 	resumed := w.call("patient", prompt("m1"))
 	send := w.lastSend(resumed)
 	w.step(Answered{Key: resumed, Attempt: send.Attempt, Answer: fleet.Answer{Status: 200}})
 	w.step(FirstEvent{Key: resumed, Attempt: send.Attempt})
-	w.holds(1, core.Holdings{Instance: "s1", FreeMB: 80_000})
+	w.reportHoldings(1, core.Holdings{Instance: "s1", FreeMB: 80_000})
 	waiting := w.call("patient", prompt("m1"))
 	w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{
 		Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
 	}})
-	w.holds(0, core.Holdings{Instance: "s0", Models: loadedModels("m1"), OnDisk: []string{"m1"}})
+	w.reportHoldings(0, core.Holdings{Instance: "s0", Models: loadedModels("m1"), OnDisk: []string{"m1"}})
 	w.step(AttemptFailed{Key: resumed, Attempt: send.Attempt, Failure: Broken})
 	asked := map[Key]bool{}
 	for _, a := range w.limitAsks {
@@ -194,17 +196,17 @@
 	}
 }
 
-// A request failed at one server and is to be repeated at one with a limit: that takes a
-// permit as a first attempt does.
-func TestRepeatAtALimitedServerNeedsAPermit(t *testing.T) {
-	w := limitedWorld(t, 2, 2)
-	w.router.backends["s0"].failing = 0.9 // so that s1 is chosen first
+// A request failed at one server and is to be retried at one with a limit: that needs a
+// permit like a first attempt.
+func TestRetryAtALimitedServerNeedsAPermit(t *testing.T) {
+	w := newLimitedFixture(t, 2, 2)
+	w.router.backends["s0"].failureRate = 0.9 // so that s1 is chosen first
 	key := w.call("again", nil)
 	send := w.lastSend(key)
 	w.limitAsks = nil
 	w.step(AttemptFailed{Key: key, Attempt: send.Attempt, Failure: NoAnswer})
 	if len(w.sends[key]) != 1 {
-		t.Fatal("repeated without a permit")
+		t.Fatal("retried without a permit")
 	}
 	w.answerAsk(true, 0)
 	if send := w.lastSend(key); send.Instance != "s0" || send.Attempt != 2 {
@@ -212,10 +214,10 @@
 	}
 }
 
-// The loader that counts is frozen: its connection is open and it says nothing. Callers do
-// not wait for it longer than for a moment, and the router goes by its part of the limit.
-func TestFrozenLoaderHoldsUpNobody(t *testing.T) {
-	w := limitedWorld(t, 1, 50)
+// The loader that counts is frozen: its connection is open and it does not answer. Callers
+// must wait for it only briefly, and the router must use its share of the limit.
+func TestFrozenLoaderDoesNotDelayRequests(t *testing.T) {
+	w := newLimitedFixture(t, 1, 50)
 	key := w.call("once", nil)
 	w.run(limit.Patience + 2*tickInterval)
 	if f, ended := w.finishes[key]; len(w.sends[key]) == 0 && !ended {
@@ -231,21 +233,22 @@
 		}
 	}
 	if sent < 10 {
-		t.Errorf("%d of 20 requests a second were sent, of a server that takes 50", sent)
+		t.Errorf("%d of 20 requests a second were sent to a server that takes 50", sent)
 	}
 }
 
-// The only engine that has a model takes no more for some time. Those who wait for the
-// model go to the engine that has it soonest: another one that loads it, or this one.
+// The only engine that has a model takes no requests for some time. Requests that wait for
+// the model must go to the engine that has it soonest: another one that loads it, or this
+// one.
 func TestModelOfALimitedEngineIsLoadedElsewhere(t *testing.T) {
 	for _, test := range []struct {
 		room time.Duration
 		want string
 	}{{4 * time.Second, "s1"}, {100 * time.Millisecond, "s0"}} {
-		w := newWorld(t)
+		w := newFixture(t)
 		w.servers(engineService, 2)
-		w.holds(0, core.Holdings{Instance: "s0", Models: loadedModels("m1")})
-		w.holds(1, core.Holdings{Instance: "s1", FreeMB: 80_000, OnDisk: []string{"m1"}})
+		w.reportHoldings(0, core.Holdings{Instance: "s0", Models: loadedModels("m1")})
+		w.reportHoldings(1, core.Holdings{Instance: "s1", FreeMB: 80_000, OnDisk: []string{"m1"}})
 		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{
 			Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
 		}})
@@ -262,35 +265,36 @@
 	}
 }
 
-// A server starts again under its instance. It has named no limit in this life, and an
-// answer of the one before must not bring it back.
-func TestLimitEndsWithTheLifeThatNamedIt(t *testing.T) {
-	w := newWorld(t)
+// A server restarts under its instance name. Its new incarnation has named no limit, and an
+// answer of the earlier one must not restore the limit.
+func TestLimitEndsWithTheIncarnationThatNamedIt(t *testing.T) {
+	w := newFixture(t)
 	entry := w.server(plainService, 0)
 	entry.Born = 1000
 	w.step(BackendsRead{Backends: map[string]fleet.Backend{"s0": entry}})
 	w.answerLimited(w.call("once", nil), limitedTo(3))
 	old := w.call("once", nil)
 	if !w.router.backends["s0"].limited() {
-		t.Fatal("the limit was not taken in")
+		t.Fatal("the limit was not applied")
 	}
 	entry.Born = 2000
 	w.step(BackendsChanged{Written: map[string]fleet.Backend{"s0": entry}})
 	if w.router.backends["s0"].limited() {
-		t.Error("the limit outlived the life that named it")
+		t.Error("the limit outlived the incarnation that named it")
 	}
 	if sends := w.sends[old]; len(sends) > 0 {
 		w.step(Answered{Key: old, Attempt: sends[0].Attempt, Answer: fleet.Answer{Status: 200, Limit: limitedTo(3)}})
 	}
 	if w.router.backends["s0"].limited() {
-		t.Error("an answer of the earlier life brought its limit back")
+		t.Error("an answer of the earlier incarnation restored its limit")
 	}
 }
 
-// A server's address has gone to another service. What that one says of its limit, in the
-// answer that it is not the server that was meant, does not bind the one before.
-func TestAnotherServersLimitBindsNobodyElse(t *testing.T) {
-	w := newWorld(t)
+// A server's address has been taken over by another service. The limit in that server's
+// answer, which says that it is not the server that was meant, must not apply to the
+// earlier server.
+func TestLimitOfAnotherServerIsIgnored(t *testing.T) {
+	w := newFixture(t)
 	w.servers(plainService, 2)
 	key := w.call("once", nil)
 	send := w.lastSend(key)
@@ -302,13 +306,14 @@
 	}
 }
 
-// The loader that counts was gone, and this router's next turn is seconds away. Once the
-// loader is connected again its callers must be asked for, and not be refused until then.
-func TestLoaderThatIsBackIsAsked(t *testing.T) {
-	w := limitedWorld(t, 1, 0.1)
+// The loader that counts was disconnected, and this router's next own share of the limit is
+// seconds away. Once the loader is connected again it must be asked for permits, and
+// callers must not be refused until the own share is due.
+func TestReconnectedLoaderIsAsked(t *testing.T) {
+	w := newLimitedFixture(t, 1, 0.1)
 	w.step(LoaderDown{Loader: "10.9.0.1"})
 	if f := w.finishes[w.call("once", nil)]; f.Code != code.AtLimit || f.RetryAfter < time.Second {
-		t.Fatalf("ended with %v, to come back in %v; the test needs a turn that is far", f.Code, f.RetryAfter)
+		t.Fatalf("ended with %v, Retry-After %v; the test needs an own share that is due much later", f.Code, f.RetryAfter)
 	}
 	w.step(LoaderUp{Loader: "10.9.0.1"})
 	key := w.call("once", nil)
@@ -317,11 +322,11 @@
 	}
 }
 
-// A server's limit is over, but another server is as good and gets all requests: nobody
-// hears of the end, and the server counts as one in need for good. One request in ten
-// seconds goes there all the same.
-func TestLimitThatNobodyHearsOfIsLookedInto(t *testing.T) {
-	w := limitedWorld(t, 2, 2)
+// A server no longer names a limit, but another server is as good and gets all requests:
+// without an answer the end of the limit is not noticed, and the server counts as limited
+// for good. One request in ten seconds must go there nevertheless.
+func TestUnconfirmedLimitIsProbed(t *testing.T) {
+	w := newLimitedFixture(t, 2, 2)
 	w.router.backends["s0"].latency, w.router.backends["s1"].latency = 20*time.Millisecond, 10*time.Millisecond
 	asked := 0
 	for range 15 {
--- a/internal/router/spec.go
+++ b/internal/router/spec.go
@@ -11,11 +11,11 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file tells loaders the configuration of their engines: its name to all, the whole to
-// those that ask.
+// This file sends loaders the configuration of their engines: its ID to all loaders, the
+// content to those that ask for it.
 
-// setSpecs works out what loaders are to know of a new configuration. Those that have been
-// told of an engine's other one are told of this at once.
+// setSpecs computes the engine configurations of a new configuration. Loaders whose
+// engine's configuration has changed are notified at once.
 func (r *Router) setSpecs() {
 	for name := range r.config.Services {
 		if engine := r.engine(name); engine != nil {
@@ -25,7 +25,7 @@
 	for _, l := range r.loaders {
 		if b := r.engineAt(l); b != nil {
 			spec := r.service(b.Service).spec
-			l.dirty = l.dirty || spec != nil && spec.ID.Hash != l.specNamed
+			l.dirty = l.dirty || spec != nil && spec.ID.Hash != l.specHashSent
 		}
 	}
 }
@@ -43,7 +43,7 @@
 	return spec
 }
 
-// specHash is of all but the spec's name, and never 0.
+// specHash returns the hash of an engine's configuration without its ID, never 0.
 func specHash(spec *core.EngineSpec) uint64 {
 	data, err := cbor.Marshal(spec)
 	if err != nil {
@@ -52,22 +52,22 @@
 	return max(1, xxhash.Sum64(data))
 }
 
-// addSpec names the engine's configuration once on each connection and after each change
-// of it, and adds it where it was asked for.
+// addSpec adds the ID of the engine's configuration to a Demand once per connection and
+// after each change, and its content if the loader has asked for it.
 func (r *Router) addSpec(demand *core.Demand, l *loader, spec *core.EngineSpec) {
 	if spec == nil {
 		return
 	}
-	if spec.ID.Hash != l.specNamed {
-		demand.Spec, l.specNamed = spec.ID, spec.ID.Hash
+	if spec.ID.Hash != l.specHashSent {
+		demand.Spec, l.specHashSent = spec.ID, spec.ID.Hash
 	}
-	if l.specWanted {
-		demand.Engine, l.specWanted = spec, false
+	if l.specRequested {
+		demand.Engine, l.specRequested = spec, false
 	}
 }
 
-func (r *Router) loaderWantsSpec(name core.HostID) {
+func (r *Router) loaderSpecRequested(name core.HostID) {
 	if l := r.loaders[name]; l != nil {
-		l.specWanted, l.dirty = true, true
+		l.specRequested, l.dirty = true, true
 	}
 }
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// pauseUnder is the pause between events of an engine under load.
+// pauseUnder returns the pause between events of an engine under load.
 func pauseUnder(load int, undisturbed time.Duration, share float64) time.Duration {
 	return time.Duration(float64(undisturbed) * (1 + share*float64(load)))
 }
 
-// Two models, one four times as fast, run beside 0 to 30 requests, and pauses
-// vary by a tenth. The share must come out all the same: it decides how many
-// engines a busy model gets. Learnt from prompt lengths instead, it once fell
-// from 26 to 2 us a token within seconds, and copies in use were evicted.
+// Two models, one four times as fast, run beside 0 to 30 requests, and pauses vary by a
+// tenth. The share must be estimated correctly: it determines how many engines a busy model
+// gets. An estimate from prompt lengths fell from 26 to 2 us a token within seconds, and
+// copies in use were evicted.
 func TestShareIsLearntUnderChangingLoad(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := newSpeed()
@@ -27,7 +27,7 @@
 		load := random.IntN(30)
 		noise := 1 + 0.1*random.Float64()
 		pause := time.Duration(noise * float64(pauseUnder(load, undisturbed, 0.04)))
-		s.answerEnded(answer{model: model, events: 35, first: 5 * pause, pause: pause, beside: load})
+		s.answerEnded(answer{model: model, events: 35, first: 5 * pause, pause: pause, concurrent: load})
 	}
 	if math.Abs(s.share-0.04) > 0.015 {
 		t.Fatalf("share %.3f, want about 0.04", s.share)
@@ -41,37 +41,37 @@
 	}
 }
 
-// Nothing is known at the start, and short answers tell nothing: no load may be
-// computed from that, or a model would be copied to engines by chance.
+// Without samples, or with short answers only, no load may be computed, or a model would be
+// copied to engines by chance.
 func TestShareWithoutSamples(t *testing.T) {
 	s := newSpeed()
 	for range 100 {
-		s.answerEnded(answer{model: "m", events: leastEvents - 1, first: time.Second, pause: time.Second, beside: 10})
+		s.answerEnded(answer{model: "m", events: minEvents - 1, first: time.Second, pause: time.Second, concurrent: 10})
 	}
 	if s.queueFactor(50) != 1 || s.load("m", 100, 32) != 0 {
-		t.Fatal("a speed without samples counts")
+		t.Fatal("answers that are too short changed the estimated load")
 	}
 }
 
-// The fleet was restarted under load. Learnt slowly from zero, the share stayed
-// too small for ten seconds, and busy models kept too few copies just when all
+// Guards against a share that rises too slowly from zero: after a restart under load it
+// stayed too small for ten seconds, and busy models kept too few copies just when all
 // callers came back. A few answers must be enough.
 func TestShareIsKnownAfterFewAnswers(t *testing.T) {
 	s := newSpeed()
 	s.answerEnded(answer{model: "m", events: 35, first: 100 * time.Millisecond, pause: 20 * time.Millisecond})
 	for range 8 {
 		pause := pauseUnder(10, 20*time.Millisecond, 0.04)
-		s.answerEnded(answer{model: "m", events: 35, first: 100 * time.Millisecond, pause: pause, beside: 10})
+		s.answerEnded(answer{model: "m", events: 35, first: 100 * time.Millisecond, pause: pause, concurrent: 10})
 	}
 	if math.Abs(s.share-0.04) > 0.01 {
 		t.Fatalf("share %.3f after 8 answers, want about 0.04", s.share)
 	}
 }
 
-// Engines of 32 slots, on which each request takes little of the time: 60 calls a
-// second of 0.8 s keep 48 of them running. By time alone one engine carries that;
-// in fact a third of the callers waited 1.5 to 2.5 s for a slot, and engines
-// refused hundreds. Slots must count.
+// Engines of 32 slots, on which each request takes little of the time: 60 calls a second of
+// 0.8 s keep 48 of them running. By time alone one engine has enough capacity; with that
+// estimate a third of the callers waited 1.5 to 2.5 s for a slot, and engines refused
+// hundreds. Slots must count.
 func TestFewSlotsCountAsLoad(t *testing.T) {
 	s := newSpeed()
 	s.share = 0.012
@@ -84,20 +84,20 @@
 	}
 }
 
-// Demand moves to a model that this router has not seen answer. Its load is not
-// zero until then, but about that of the other models.
+// Demand moves to a model without answers at this router. Its load must not count as zero
+// until then, but as the mean of the other models.
 func TestUnknownModelHasTheUsualLoad(t *testing.T) {
 	s := newSpeed()
 	s.models["a"] = &modelSpeed{first: 100 * time.Millisecond, pause: 10 * time.Millisecond, events: 10}
 	s.models["b"] = &modelSpeed{first: 100 * time.Millisecond, pause: 30 * time.Millisecond, events: 10}
-	if got := s.undisturbed("new"); got != 300*time.Millisecond {
+	if got := s.unloadedTime("new"); got != 300*time.Millisecond {
 		t.Errorf("%s, want the mean of the others, 300 ms", got)
 	}
 }
 
-// Guards against streams that are cut at a stop because engines often take longer than the
-// mean, and against refusals at a stop where they never do.
-func TestTailIsWhatAnswersTakeAtMost(t *testing.T) {
+// Guards against streams that are cut off at a stop because engines often take longer than
+// the mean, and against refusals at a stop where they never do.
+func TestTailIsThe99thPercentile(t *testing.T) {
 	for name, c := range map[string]struct {
 		late        func(i int) bool
 		least, most float64
--- a/internal/router/spread.go
+++ b/internal/router/spread.go
@@ -10,47 +10,47 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file decides on how many engines a model is loaded. It answers this
-// pattern: demand moves to another model within some seconds, from one call in
-// ten seconds to twenty a second. One engine would be busy reading prompts all
-// the time; with as many copies as its load needs, no engine is. A copy that is no
-// longer needed is the first to make room for another model.
+// This file decides on how many engines a model is loaded. Demand may move to another model
+// within some seconds, from one call in ten seconds to twenty a second. A single engine
+// would be fully occupied with reading prompts; with as many copies as its load needs, no
+// engine is. A copy that is no longer needed is the first to be evicted for another model.
 
 const (
-	// targetLoad is the part of an engine's time, or of its slots, that one
-	// model's requests may take before it gets a further copy. Measured over 6
-	// days x 2 seeds on each of two deployments (mean worth): 0.15 0.578 and 0.596, 0.3 0.671 and 0.632,
-	// 0.45 0.707 and 0.639, 0.7 0.715 and 0.635. Below, copies take the memory of
-	// rare models, whose swaps then keep engines busy; the value lies on the flat
-	// part. (0.15 was measured before models in use were retired.)
+	// targetLoad is the fraction of an engine's time, or of its slots, that one model's
+	// requests may take before the model gets a further copy. Mean scores over 6 days x 2
+	// seeds on each of two deployments: 0.15 0.578 and 0.596, 0.3 0.671 and 0.632, 0.45
+	// 0.707 and 0.639, 0.7 0.715 and 0.635. With lower values copies take the memory of
+	// rare models, whose swaps then keep engines busy; 0.6 lies on the flat part of the
+	// curve. (The score for 0.15 is without the retirement of models in use.)
 	targetLoad = 0.6
-	// leastBusy is the least arrivals per second of a busy model, so that in a
-	// fleet that is nearly idle a few calls do not make copies.
-	leastBusy = 0.5
-	// busyFactor is how many times the mean makes a model busy: a rare one
-	// would have to be called four times within ten seconds at one router.
+	// minBusyRate is the minimum arrivals per second of a busy model, so that in a nearly
+	// idle fleet a few calls do not cause copies.
+	minBusyRate = 0.5
+	// busyFactor is how many times the mean rate a busy model must exceed: a rare one would
+	// have to be called four times within ten seconds at one router.
 	busyFactor = 2
-	// busyMemory is how long a model counts as busy after it was: demand that left it
-	// may come back.
+	// busyMemory is how long a model continues to count as busy: demand that left it may
+	// come back.
 	busyMemory = 30 * time.Second
-	// surelyCalled is the number of calls within the memory of the slow rate from
-	// which a router's own count stands for the others: its error is a half then.
-	surelyCalled = 4
-	// backlogWithin is the time in which the prompts of those who wait for a model
-	// are to be read once it is loaded: about the time of one more load from disk,
-	// so that a further copy is ready when the first would have read half of them.
+	// minReliableCalls is the number of calls within the time constant of the slow rate
+	// from which a router's own count is extrapolated to the others: its error is a half
+	// then.
+	minReliableCalls = 4
+	// backlogWithin is the time in which the prompts of the requests that wait for a model
+	// should be read once it is loaded: about the time of one more load from disk, so that
+	// a further copy is ready when the first would have read half of them.
 	backlogWithin = 800 * time.Millisecond
-	// spreadLife is how long beyond its predicted end a further copy is asked
-	// for: an order may have to be sent again, but demand also moves on.
+	// spreadLife is how long beyond its predicted end a further copy is requested: an order
+	// may have to be sent again, but demand also moves on.
 	spreadLife = 3 * time.Second
 )
 
-// copiesOf returns the engines that have a model loaded and take requests, as many as come
-// for it.
+// copiesOf returns the engines that have a model loaded, take requests and are not limited
+// below the rate at which they are called.
 func (r *Router) copiesOf(service, model string) []*backend {
 	var copies []*backend
 	for _, b := range r.holders(service, model) {
-		if b.unlistedAt != 0 || r.draining(b) || r.short(b) {
+		if b.unlistedAt != 0 || r.draining(b) || r.limitTooLow(b) {
 			continue
 		}
 		if has, _ := r.loaded(b, model, ""); has {
@@ -60,20 +60,19 @@
 	return copies
 }
 
-// rate returns the requests per second for a model at all routers. Loaders add
-// up what routers tell them; where none does, this router's own count stands
-// for the others too.
+// rate returns the requests per second for a model at all routers. Loaders add up what
+// routers report to them; without such a sum this router's own rate is extrapolated.
 func (r *Router) rate(service, model string) float64 {
 	rate := r.service(service).rate(modelKey{model: model})
-	if told, _ := r.toldRates(service, model); told > 0 {
-		return max(rate.perSecond(r.now), told)
+	if reported, _ := r.reportedRates(service, model); reported > 0 {
+		return max(rate.perSecond(r.now), reported)
 	}
-	return rate.slowly(r.now) * float64(r.routers())
+	return rate.slowRate(r.now) * float64(r.routers())
 }
 
-// toldRates are the sums of all routers' rates as told by the loaders that hold the
-// model, the larger of slow and fast and the slow one; 0 if none holds it.
-func (r *Router) toldRates(service, model string) (rate, slow float64) {
+// reportedRates returns the sums of all routers' rates that the loaders holding the model
+// report: the larger of slow and fast, and the slow one; 0 if none holds it.
+func (r *Router) reportedRates(service, model string) (rate, slow float64) {
 	for _, b := range r.holders(service, model) {
 		if m := r.heldAt(b, model); m != nil {
 			rate, slow = max(rate, m.Rate), max(slow, m.SlowRate)
@@ -82,7 +81,7 @@
 	return rate, slow
 }
 
-// neededCopies is the number of engines that should have a model loaded.
+// neededCopies returns the number of engines that should have a model loaded.
 func (r *Router) neededCopies(service, model string) int {
 	perSecond := r.rate(service, model)
 	needed := 1
@@ -94,18 +93,19 @@
 		slots = engine.Slots
 	}
 	load := r.service(service).speed.load(model, perSecond, slots)
-	return max(needed, int(math.Ceil(load/targetLoad)), r.crowdCopies(service, model, slots), r.backlogCopies(service, model))
+	return max(needed, int(math.Ceil(load/targetLoad)), r.copiesForRunning(service, model, slots), r.copiesForBacklog(service, model))
 }
 
-// copyNeed is how many copies a model should have, as of a time.
+// copyNeed is the number of copies a model should have, as of a time.
 type copyNeed struct {
 	needed int
 	at     core.Time
 }
 
-// need returns how many copies a model should have, worked out at most once in planInterval:
-// each engine that has one asks. How many it has changes with each word, and is no part of
-// it: taken as of before, two engines were told at once that theirs is one too many.
+// need returns how many copies a model should have, computed at most once in planInterval,
+// since it is called for each engine that has the model. The number of existing copies
+// changes with each report and is not part of the cached value: when it was, two engines
+// were told at once that their copy was spare.
 func (r *Router) need(s *service, model string) int {
 	if n, known := s.needs[model]; known && r.now.Sub(n.at) < planInterval {
 		return n.needed
@@ -115,14 +115,13 @@
 	return n.needed
 }
 
-// crowdCopies is the number of engines that a model needs by what runs at those that
-// have it, whatever was predicted.
+// copiesForRunning returns the number of engines that a model needs for the requests that
+// run at those that have it, regardless of predictions.
 //
-// It answers this pattern: demand rises, answers take twice as long as they did
-// undisturbed, and an engine's slots are full at a rate that should leave a third of
-// them free. By the rate alone four copies seemed to do while each had 37 requests in
-// 32 slots, for seven seconds.
-func (r *Router) crowdCopies(service, model string, slots int) int {
+// When demand rises, answers take twice as long as without load, and an engine's slots are
+// full at a rate that should leave a third of them free. By the rate alone four copies
+// seemed to be enough while each had 37 requests in 32 slots, for seven seconds.
+func (r *Router) copiesForRunning(service, model string, slots int) int {
 	if slots <= 0 {
 		return 0
 	}
@@ -135,8 +134,8 @@
 	return int(math.Ceil(running / (targetLoad * float64(slots))))
 }
 
-// shareAt is the part of an engine's requests that are for a model, by the rates of
-// all that it has loaded, each spread over the engines that have it.
+// shareAt returns the fraction of an engine's requests that are for a model, by the rates
+// of all models that it has loaded, each divided by the number of engines that have it.
 func (r *Router) shareAt(b *backend, model string) float64 {
 	held := r.holdings(b)
 	if held == nil {
@@ -156,13 +155,13 @@
 	return own / all
 }
 
-// backlogCopies is the number of engines that have to load a model for those who
-// wait for it.
+// copiesForBacklog returns the number of engines that have to load a model for the requests
+// that wait for it.
 //
-// It answers the return of a whole fleet: rates and load are unknown, engines are
-// empty, and 40 callers wait for the busiest model at one engine, which then reads
-// their prompts for seconds while the others hold models that nobody called.
-func (r *Router) backlogCopies(service, model string) int {
+// When a whole fleet returns, rates and load are unknown, engines are empty, and 40 callers
+// wait for the busiest model at one engine, which then reads their prompts for seconds
+// while the others hold models that nobody called.
+func (r *Router) copiesForBacklog(service, model string) int {
 	waiting := 0
 	for _, b := range r.holders(service, model) {
 		if m := r.heldAt(b, model); m != nil && b.unlistedAt == 0 && m.State != core.HoldLoaded {
@@ -173,62 +172,62 @@
 	return int(math.Ceil(float64(reading) / float64(backlogWithin)))
 }
 
-// busy tells that a model is, or was within half a minute, called well more than
-// the mean of all declared models. Such a model keeps two copies: the loss of
-// one does not make its callers wait for a load, and demand that moved on may
-// come back faster than a copy is made. Measured against the mean, it tells the
-// few busy models from the many rare ones whatever the size of the deployment: a
-// fixed rate took rare models for busy when all were called twice as much. The
-// slow rates are compared, since three calls by chance make a fast one high.
+// busy reports whether a model's rate is, or was within half a minute, well above the mean
+// of all declared models. Such a model keeps two copies: the loss of one does not make its
+// callers wait for a load, and demand that moved on may come back faster than a copy is
+// made. The comparison with the mean distinguishes the few busy models from the many rare
+// ones regardless of the size of the deployment: with a fixed threshold, rare models
+// counted as busy when all were called twice as often. The slow rates are compared, since
+// three calls by chance make a fast one high.
 func (r *Router) busy(service, model string) bool {
 	engine := r.engine(service)
 	if engine == nil || len(engine.Models) == 0 {
 		return false
 	}
 	s := r.service(service)
-	mean := s.all.slowly(r.now) * float64(r.routers()) / float64(len(engine.Models))
-	if r.sureRate(s, model) > max(leastBusy, busyFactor*mean) {
+	mean := s.all.slowRate(r.now) * float64(r.routers()) / float64(len(engine.Models))
+	if r.reliableRate(s, model) > max(minBusyRate, busyFactor*mean) {
 		s.busyUntil[model] = r.now.Add(busyMemory)
 	}
 	return r.now < s.busyUntil[model]
 }
 
-// sureRate is a model's rate at all routers as far as it is known well: by the
-// loaders' sums, or by this router's own calls where these are some.
+// reliableRate returns a model's rate at all routers as far as it is known reliably: from
+// the loaders' sums, or from this router's own calls if there are several.
 //
-// It guards against one router's chance in a large fleet: of 68 routers each gets a
-// call in 68, and one call within ten seconds, times 68, made any rare model busy
-// for the router that shares out copies.
-func (r *Router) sureRate(s *service, model string) float64 {
-	own := s.rate(modelKey{model: model}).slowly(r.now)
-	_, rate := r.toldRates(s.name, model)
-	if own*slowMemory.Seconds() >= surelyCalled {
+// It guards against extrapolating chance in a large fleet: of 68 routers each gets one call
+// in 68, and one call within ten seconds, times 68, made any rare model busy for the router
+// that plans copies.
+func (r *Router) reliableRate(s *service, model string) float64 {
+	own := s.rate(modelKey{model: model}).slowRate(r.now)
+	_, rate := r.reportedRates(s.name, model)
+	if own*slowMemory.Seconds() >= minReliableCalls {
 		rate = max(rate, own*float64(r.routers()))
 	}
 	return rate
 }
 
-// heat is the part of an engine's time that the requests there take; all of it where it
-// takes no more, by its limit.
-func (r *Router) heat(b *backend) float64 {
-	if r.short(b) {
+// utilization returns the fraction of an engine's time that its requests take, 1 if the
+// engine's limit is below the rate at which it is called.
+func (r *Router) utilization(b *backend) float64 {
+	if r.limitTooLow(b) {
 		return 1
 	}
 	factor := r.service(b.Service).speed.queueFactor(r.outstanding(b))
 	return 1 - 1/factor
 }
 
-// spread asks for further copies of models that are called more than their
-// copies can carry.
+// spread requests further copies of models that are called more than their copies can
+// serve.
 func (r *Router) spread(s *service, engine *fleet.Engine) {
 	for _, model := range r.modelsByRate(s, engine) {
 		needed := r.neededCopies(s.name, model.Name)
 		if needed < 2 {
 			continue
 		}
-		copies := len(r.copiesOf(s.name, model.Name)) + r.coming(s, model.Name)
+		copies := len(r.copiesOf(s.name, model.Name)) + r.copiesLoading(s, model.Name)
 		for ; copies < needed; copies++ {
-			b := r.coolest(s, model)
+			b := r.bestForCopy(s, model)
 			if b == nil || !r.near(b, model.Name) && r.storeCopyAsked(s, model.Name) {
 				break
 			}
@@ -238,14 +237,14 @@
 			}
 			b.loader.dirty = true
 			r.log(StateChange, "model gets a further copy", b.attrs("model", model.Name, "copies", copies, "needed", needed,
-				"heat", r.heat(b), "rate", r.rate(s.name, model.Name), "share", s.speed.share, "undisturbed", s.speed.undisturbed(model.Name).String())...)
+				"heat", r.utilization(b), "rate", r.rate(s.name, model.Name), "share", s.speed.share, "undisturbed", s.speed.unloadedTime(model.Name).String())...)
 		}
 	}
 }
 
-// storeCopyAsked tells that an engine is asked to load a model from the weight
-// store. One at a time is: the store is slow, and engines that wait for it are
-// kept from other background loads.
+// storeCopyAsked reports whether an engine is asked to load a further copy of a model from
+// the weight store. Only one at a time is: the store is slow, and engines that wait for it
+// can't do other background loads.
 func (r *Router) storeCopyAsked(s *service, model string) bool {
 	for key, planned := range s.store.planned {
 		if key.model == model && planned.store && planned.spread {
@@ -255,10 +254,10 @@
 	return false
 }
 
-// coming counts the engines that load a model or are asked to. One that waits for
-// the weight store does not count: it may wait for good, and a busy model that had
-// four copies was taken to have twelve.
-func (r *Router) coming(s *service, model string) int {
+// copiesLoading counts the engines that load a model or are asked to. One that waits for
+// the weight store does not count: it may wait indefinitely, and a busy model that had four
+// copies was considered to have twelve.
+func (r *Router) copiesLoading(s *service, model string) int {
 	count := 0
 	for _, b := range r.holders(s.name, model) {
 		m := r.heldAt(b, model)
@@ -266,12 +265,12 @@
 			count++
 		}
 	}
-	return count + r.asked(s, model)
+	return count + r.pendingNearLoads(s, model)
 }
 
-// asked counts the engines that are asked to load a model from a near copy and
-// have not said so yet.
-func (r *Router) asked(s *service, model string) int {
+// pendingNearLoads counts the engines that are asked to load a model from a near copy and
+// have not reported that yet.
+func (r *Router) pendingNearLoads(s *service, model string) int {
 	count := 0
 	for key, planned := range s.store.planned {
 		if key.model != model || planned.store {
@@ -289,9 +288,9 @@
 	return count
 }
 
-// coolest returns the engine for a further copy: the one where it is ready soonest,
-// so one with a near copy, if any has, and of these the one with least to do.
-func (r *Router) coolest(s *service, model fleet.Model) *backend {
+// bestForCopy returns the engine for a further copy: the one where it is ready soonest,
+// thus one with a near copy if any has one, and of these the one with the least load.
+func (r *Router) bestForCopy(s *service, model fleet.Model) *backend {
 	type option struct {
 		b    *backend
 		cost float64
@@ -303,9 +302,9 @@
 			s.store.hasPlanned(b.loader.name) {
 			continue
 		}
-		// Seconds until it is loaded, and the engine's load, which a busy
-		// model's callers meet for as long as it stays.
-		cost := r.readyIn(b, waitKey{s.name, modelKey{model: model.Name}}).Seconds() + spreadHeat*r.heat(b)
+		// Seconds until it is loaded, and the engine's load, which affects a busy model's
+		// callers for as long as the copy stays.
+		cost := r.readyIn(b, waitKey{s.name, modelKey{model: model.Name}}).Seconds() + spreadLoadPenalty*r.utilization(b)
 		options = append(options, option{b, cost})
 	}
 	if len(options) == 0 {
@@ -314,6 +313,6 @@
 	return slices.MinFunc(options, func(a, b option) int { return cmp.Compare(a.cost, b.cost) }).b
 }
 
-// spreadHeat is what a whole engine's load counts beside the time of a load,
-// in seconds: a copy lasts for some ten seconds.
-const spreadHeat = 5.0
+// spreadLoadPenalty is the time in seconds added for a fully utilized engine to the time of
+// a load: a copy lasts for some ten seconds.
+const spreadLoadPenalty = 5.0
--- a/internal/router/spread_test.go
+++ b/internal/router/spread_test.go
@@ -9,14 +9,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// The whole fleet was restarted. Routers know no rates yet, and took the copies
-// of the busiest model for spare; loaders evicted them for rare models just when
-// its callers came back. Until demand is known no copy is spare.
+// Guards against evicting busy models after a restart of the whole fleet: routers without
+// known rates considered the copies of the busiest model spare; loaders evicted them for
+// rare models just when its callers came back. Until demand is known no copy is spare.
 func TestNoCopyIsSpareBeforeDemandIsKnown(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 4)
 	for i := range 4 {
-		w.holds(i, core.Holdings{Models: loadedModels("m1")})
+		w.reportHoldings(i, core.Holdings{Models: loadedModels("m1")})
 	}
 	spare := func() int {
 		n := 0
@@ -36,7 +36,7 @@
 	}
 	for range 20 {
 		for i := range 4 {
-			w.holds(i, core.Holdings{Models: loadedModels("m1")})
+			w.reportHoldings(i, core.Holdings{Models: loadedModels("m1")})
 		}
 		w.run(2 * time.Second)
 	}
@@ -45,11 +45,11 @@
 	}
 }
 
-// Demand moves to a model that one engine has: 60 calls a second, each of which
-// takes 4 % of an engine while it runs 0.8 s. Copies must follow within seconds,
-// at the engines with least to do, and no more than the load needs.
+// Demand moves to a model that one engine has: 60 calls a second, each of which takes 4 %
+// of an engine while it runs 0.8 s. Copies must follow within seconds, at the engines with
+// the least load, and no more than the load needs.
 func TestBusyModelGetsCopies(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 6)
 	hold := func() {
 		for i := range 6 {
@@ -57,7 +57,7 @@
 			if i == 0 {
 				holdings = core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldLoaded, Rate: 60}}}
 			}
-			w.holds(i, holdings)
+			w.reportHoldings(i, holdings)
 		}
 	}
 	hold()
@@ -82,11 +82,11 @@
 	}
 }
 
-// All rare models are called twice as much for some seconds. Taken for busy by a
-// fixed rate, each got a second copy, and the copies evicted one another. Only a
-// model that is called more than the mean of all is busy.
+// All rare models are called twice as often for some seconds. With a fixed threshold they
+// counted as busy, each got a second copy, and the copies evicted one another. Only a model
+// that is called more than the mean of all is busy.
 func TestRareModelsAreNotBusyInABurst(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
 	for i := range 300 {
 		model := "m0"
@@ -106,13 +106,13 @@
 	}
 }
 
-// A busy model's load needs five copies. One engine has it, one a copy on disk;
-// further ones need the weight store, which serves one load in 13 s. Asked for at
-// all of them at once, they counted as coming for good, and the disk copy at an
-// engine that became free was never used. One is to be asked from the store, and
-// it is to get its permit before a rare model that few wait for.
+// A busy model's load needs five copies. One engine has it, one a copy on disk; further
+// ones need the weight store, which serves one load in 13 s. Guards against requesting it
+// at all of them at once: they counted as loading for good, and the disk copy at an engine
+// that became free was never used. One copy must be requested from the store, and it must
+// get its permit before a rare model that few requests wait for.
 func TestCopiesThatWaitForTheStoreDoNotCount(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 6)
 	s := w.router.services[engineService]
 	s.speed.share = 0.04
@@ -130,7 +130,7 @@
 			case waiting[loaderName(i)]:
 				holdings.Models = []core.HeldModel{{Name: "m1", State: core.HoldPermit, ReadyIn: 6 * time.Second}}
 			}
-			w.holds(i, holdings)
+			w.reportHoldings(i, holdings)
 		}
 		w.run(planInterval)
 		for i := range 5 {
@@ -142,7 +142,7 @@
 		}
 	}
 	if len(waiting) != 1 {
-		t.Fatalf("%d copies are asked from the store at once, want 1", len(waiting))
+		t.Fatalf("%d copies are requested from the store at once, want 1", len(waiting))
 	}
 	if permits := w.demands[loaderName(5)].Permits; len(permits) != 0 {
 		t.Errorf("the rare model got the permit first: %v", permits)
@@ -154,12 +154,12 @@
 	}
 }
 
-// A whole fleet returns after a loss of power. Engines are empty, nothing is known
-// of rates, and 40 callers wait for one model. Loaded at one engine, it read their
-// prompts for four seconds, while the other engines held models that nobody had
-// called. Further engines must load it at once, and none ahead of demand.
+// A whole fleet returns after a loss of power. Engines are empty, rates are unknown, and 40
+// callers wait for one model. Loaded at one engine only, the engine read their prompts for
+// four seconds, while the other engines held models that nobody had called. Further engines
+// must load it at once, and none ahead of demand.
 func TestReturningCallersGetSeveralEngines(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 6)
 	hold := func(waiting int) {
 		for i := range 6 {
@@ -167,7 +167,7 @@
 			if i == 0 && waiting > 0 {
 				holdings.Models = []core.HeldModel{{Name: "m1", State: core.HoldLoading, ReadyIn: 800 * time.Millisecond, Waiting: waiting}}
 			}
-			w.holds(i, holdings)
+			w.reportHoldings(i, holdings)
 		}
 	}
 	hold(0)
@@ -194,11 +194,11 @@
 	}
 }
 
-// In a fleet of 68 routers one of them shares out copies. A rare model was called
-// there once within ten seconds; times 68 that made seven calls a second, and the
-// model got a second copy, for which a busy model's had to go.
+// Guards against extrapolating a single call: in a fleet of 68 routers one of them plans
+// copies. A rare model was called there once within ten seconds; times 68 that made seven
+// calls a second, and the model got a second copy, for which a busy model's was evicted.
 func TestOneCallOfManyRoutersIsNotBusy(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
 	for i := range 2 {
 		w.step(LoaderUp{Loader: loaderName(i)})
@@ -220,11 +220,11 @@
 	}
 }
 
-// Demand rises to 64 calls a second for a model that four engines have. By the rate
-// four copies do, yet all slots of the four are taken and callers wait for seconds:
-// answers beside each other take longer than was learnt. What runs there counts.
+// Demand rises to 64 calls a second for a model that four engines have. By the rate four
+// copies are enough, yet all slots of the four are taken and callers wait for seconds:
+// concurrent answers take longer than estimated. The running requests must count.
 func TestCrowdedEnginesGetCopies(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 8)
 	hold := func() {
 		for i := range 8 {
@@ -250,12 +250,12 @@
 	}
 }
 
-// Three callers of a rare model come within two seconds, by chance. By the fast rate
-// it was busy for half a minute and got a second copy, for which the weight store was
-// read and another model evicted: three times as many loads as before on a small
-// fleet. Only the slow rate tells a busy model.
+// Three callers of a rare model arrive within two seconds, by chance. Guards against
+// comparing fast rates: the model counted as busy for half a minute and got a second copy,
+// for which the weight store was read and another model evicted: three times as many loads
+// on a small fleet. Only the slow rate may make a model busy.
 func TestThreeCallsByChanceMakeNoBusyModel(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 2)
 	s := w.router.services[engineService]
 	for range 60 {
@@ -263,7 +263,7 @@
 		s.arrival(w.now, prompt("m0"))
 	}
 	for i := range 2 {
-		w.holds(i, core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldLoaded, Rate: 1.6, SlowRate: 0.4}}})
+		w.reportHoldings(i, core.Holdings{Models: []core.HeldModel{{Name: "m1", State: core.HoldLoaded, Rate: 1.6, SlowRate: 0.4}}})
 	}
 	if got := w.router.neededCopies(engineService, "m1"); got != 1 {
 		t.Errorf("%d copies of the rare model needed, want 1", got)
--- a/internal/router/starved_test.go
+++ b/internal/router/starved_test.go
@@ -7,12 +7,12 @@
 	"nutmeglane.example/nutmeglane/internal/code"
 )
 
-// A burst takes the router of a small host to twice what its processor can do.
-// Answers that came in time reached callers a second late, and time-outs were
-// answered late. A part of the new requests must be refused, at once and truly,
-// so that callers go to other hosts; all of it ends with the burst.
+// Guards against overload of the router of a small host: a burst brings it to twice what
+// its processor can do, answers that came in time reach callers a second late, and
+// time-outs are answered late. Part of the new requests must be refused at once as not run,
+// so that callers go to other hosts; this must end with the burst.
 func TestStarvedRouterShedsAPart(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 3)
 	refused := func(wait time.Duration) int {
 		n := 0
@@ -21,7 +21,7 @@
 			key := w.call("again", nil)
 			if finish, ended := w.finishes[key]; ended && finish.Code == code.Starved {
 				if finish.RetryAfter <= 0 {
-					t.Fatal("no time to come back is told")
+					t.Fatal("refused without Retry-After")
 				}
 				n++
 			}
@@ -43,12 +43,12 @@
 	}
 }
 
-// The process was frozen and wakes up: the last word on its waits is old.
+// After the process was frozen, the last measurement of its wait is old and must not count.
 func TestOldWaitShedsNothing(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 3)
 	w.step(CPUWaitMeasured{Wait: 2 * starvedFully})
-	w.now = w.now.Add(2 * lagFresh)
+	w.now = w.now.Add(2 * cpuWaitMaxAge)
 	if finish, ended := w.finishes[w.call("again", nil)]; ended {
 		t.Errorf("refused: %+v", finish)
 	}
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -8,14 +8,13 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// A user's request waits for a model that takes long to load while its router
-// gets SIGTERM. The process used to end with the request still waiting: the
-// user saw the connection close without an answer. It must be told, in time,
-// that it did not run and may come back.
+// A request waits for a model that takes long to load while its router gets SIGTERM. Guards
+// against a connection that closes without an answer: the caller must be told, in time,
+// that the request did not run and when to retry.
 func TestStopAnswersWaitingRequests(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(engineService, 1)
-	w.holds(0, core.Holdings{FreeMB: 50_000, Models: []core.HeldModel{
+	w.reportHoldings(0, core.Holdings{FreeMB: 50_000, Models: []core.HeldModel{
 		{Name: "m1", State: core.HoldStoreLoading, ReadyIn: 7 * time.Second},
 	}})
 	key := w.call("patient", prompt("m1"))
@@ -25,14 +24,14 @@
 	w.step(Stopping{Until: w.now.Add(5 * time.Second)})
 	finish, ended := w.finishes[key]
 	if !ended || !finish.Code.NotRun() || finish.RetryAfter <= 0 {
-		t.Fatalf("after the stop began: ended %t, %+v; want a refusal with a time to come back", ended, finish)
+		t.Fatalf("after the stop began: ended %t, %+v; want a refusal with Retry-After", ended, finish)
 	}
 }
 
-// A request is at its server when the process ends. It may have run, so its
-// caller must get an answer that does not promise otherwise.
+// A request is at its server when the process ends. It may have run, so that its answer
+// must not promise otherwise.
 func TestStopAnswersSentRequests(t *testing.T) {
-	w := newWorld(t)
+	w := newFixture(t)
 	w.servers(plainService, 1)
 	key := w.call("once", nil)
 	w.step(Stopping{Until: w.now.Add(300 * time.Millisecond)})
@@ -45,12 +44,13 @@
 	}
 }
 
-// newPacedWorld has an engine with m0, whose answers have shown that they take a second.
-func newPacedWorld(t *testing.T) *world {
-	w := newWorld(t)
+// newPacedFixture returns a fixture with an engine that has m0 loaded and whose answers
+// have shown that they take a second.
+func newPacedFixture(t *testing.T) *fixture {
+	w := newFixture(t)
 	w.servers(engineService, 1)
 	held := core.Holdings{FreeMB: 50_000, Models: loadedModels("m0")}
-	w.holds(0, held)
+	w.reportHoldings(0, held)
 	for range 5 {
 		key := w.call("patient", prompt("m0"))
 		attempt := w.lastSend(key).Attempt
@@ -58,25 +58,25 @@
 		w.step(FirstEvent{Key: key, Attempt: attempt})
 		w.now = w.now.Add(900 * time.Millisecond)
 		w.step(Done{Key: key, Attempt: attempt, Events: 10, Pause: 100 * time.Millisecond})
-		w.holds(0, held)
+		w.reportHoldings(0, held)
 	}
 	return w
 }
 
-// loadsM1 lets the engine load m1 within a second.
-func (w *world) loadsM1() {
+// reportLoadingM1 reports that the engine loads m1 within a second.
+func (w *fixture) reportLoadingM1() {
 	w.t.Helper()
-	w.holds(0, core.Holdings{FreeMB: 20_000, Models: append(loadedModels("m0"),
+	w.reportHoldings(0, core.Holdings{FreeMB: 20_000, Models: append(loadedModels("m0"),
 		core.HeldModel{Name: "m1", State: core.HoldLoading, ReadyIn: time.Second})})
 }
 
-// wantRefusedAtStop checks that a request was refused as not run, with a time at which
-// another host takes it.
-func (w *world) wantRefusedAtStop(key Key) {
+// wantRefusedAtStop checks that a request was refused as not run, with a short Retry-After
+// for another host.
+func (w *fixture) wantRefusedAtStop(key Key) {
 	w.t.Helper()
 	finish, ended := w.finishes[key]
-	if !ended || finish.Code != code.Draining || finish.RetryAfter <= 0 || finish.RetryAfter > 2*quickReturn {
-		w.t.Errorf("ended %t, %+v; want a refusal with a short time to come back", ended, finish)
+	if !ended || finish.Code != code.Draining || finish.RetryAfter <= 0 || finish.RetryAfter > 2*quickRetryAfter {
+		w.t.Errorf("ended %t, %+v; want a refusal with a short Retry-After", ended, finish)
 	}
 	if len(w.sends[key]) > 0 {
 		w.t.Errorf("it was sent: %+v", w.sends[key])
@@ -84,24 +84,23 @@
 }
 
 // Guards against a stream that is sent to its engine a moment before its router ends, and
-// cut there.
+// is cut off there.
 func TestStopRefusesWhatWaitsForItsModel(t *testing.T) {
-	w := newPacedWorld(t)
-	w.loadsM1()
+	w := newPacedFixture(t)
+	w.reportLoadingM1()
 	key := w.call("patient", prompt("m1"))
 	w.step(Stopping{Until: w.now.Add(2 * time.Second)})
 	w.wantRefusedAtStop(key)
 }
 
-// Guards against the opposite: a request that can be answered whole before the stop is
-// refused.
-func TestStopLetsEndWhatCan(t *testing.T) {
-	w := newPacedWorld(t)
-	w.loadsM1()
+// Guards against refusing a request that can be answered completely before the stop.
+func TestStopServesWhatEndsInTime(t *testing.T) {
+	w := newPacedFixture(t)
+	w.reportLoadingM1()
 	waits := w.call("patient", prompt("m1"))
 	w.step(Stopping{Until: w.now.Add(7 * time.Second)})
 	comes := w.call("patient", prompt("m0"))
-	w.holds(0, core.Holdings{FreeMB: 20_000, Models: loadedModels("m0", "m1")})
+	w.reportHoldings(0, core.Holdings{FreeMB: 20_000, Models: loadedModels("m0", "m1")})
 	for _, key := range []Key{waits, comes} {
 		if len(w.sends[key]) != 1 {
 			t.Errorf("request %d was not sent: %+v", key, w.finishes[key])
@@ -109,26 +108,26 @@
 	}
 }
 
-// Guards against sending on a request that comes, or whose engine was slow to take it,
+// Guards against sending a request that arrives, or whose engine was slow to accept it,
 // when its router is about to end.
 func TestStopRefusesWhatComesLate(t *testing.T) {
-	w := newPacedWorld(t)
+	w := newPacedFixture(t)
 	w.step(Stopping{Until: w.now.Add(1500 * time.Millisecond)})
 	w.wantRefusedAtStop(w.call("patient", prompt("m0")))
 }
 
-// Guards against a request that waits for its account's room until its router ends: let in
-// then, it is cut.
+// Guards against a request that waits for its account's quota until its router ends:
+// admitted then, it is cut off.
 func TestStopRefusesWhatWaitsForItsAccount(t *testing.T) {
-	w := newQuotaWorld(t)
+	w := newQuotaFixture(t)
 	key := w.callWith("again", validKey)
 	w.step(Stopping{Until: w.now.Add(100 * time.Millisecond)})
 	w.wantRefusedAtStop(key)
 }
 
-// Guards against the same of a request that waits for a server's permit.
+// Guards against the same for a request that waits for a server's permit.
 func TestStopRefusesWhatWaitsForAPermit(t *testing.T) {
-	w := limitedWorld(t, 1, 2)
+	w := newLimitedFixture(t, 1, 2)
 	key := w.call("once", nil)
 	w.lastAsk()
 	w.step(Stopping{Until: w.now.Add(100 * time.Millisecond)})
--- a/internal/router/wait.go
+++ b/internal/router/wait.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// moveGain is how much sooner a model must be ready at another engine
-	// before its waiting requests are moved there. Moving costs a load that
-	// may have begun, so small gains are not worth it.
-	moveGain = 1500 * time.Millisecond
-	// noLoaderReturn is when callers should come back while no engine has a loader:
+	// minMoveGain is how much sooner a model must be ready at another engine before the
+	// requests that wait for it are moved there. Moving discards a load that may have
+	// begun, so that small gains are not worth it.
+	minMoveGain = 1500 * time.Millisecond
+	// noLoaderRetryAfter is the Retry-After of a refusal while no engine has a loader:
 	// about the time in which a host and its processes start.
-	noLoaderReturn = 5 * time.Second
+	noLoaderRetryAfter = 5 * time.Second
 )
 
-// waitKey names what requests wait for.
+// waitKey identifies what requests wait for.
 type waitKey struct {
 	service string
 	modelKey
@@ -34,13 +34,13 @@
 	home *backend
 }
 
-// dispatchPrompt sends a generation to an engine that has its model, or makes
-// it wait for one.
+// dispatchPrompt sends a generation to an engine that has its model loaded, or queues it
+// until one has.
 func (r *Router) dispatchPrompt(req *request) {
 	p := req.prompt
-	both, base := r.holdersFor(req)
-	if len(both) > 0 {
-		r.send(req, r.choose(req, both))
+	holders, modelLoaded := r.holdersFor(req)
+	if len(holders) > 0 {
+		r.send(req, r.choose(req, holders))
 		return
 	}
 	if r.onlyTriedHave(req) {
@@ -48,7 +48,7 @@
 		return
 	}
 	adapter := ""
-	if base {
+	if modelLoaded {
 		adapter = p.Adapter
 	}
 	key := waitKey{req.service, modelKey{p.Model, adapter}}
@@ -59,11 +59,11 @@
 	r.join(req, key)
 }
 
-// onlyTriedHave tells whether what a request is for is loaded, but only at engines that it
-// was sent to before.
+// onlyTriedHave reports whether the model and adapter of a request are loaded, but only at
+// engines that the request was already sent to.
 //
-// It guards against a wait for what has come long ago: the engine that has the model has
-// refused the request, the queue for the model seems to be served by that engine, and the
+// It guards against a wait for a model that is already loaded: the engine that has it has
+// refused the request, the queue for the model appears to be served by that engine, and the
 // request, which may not go there again, is held until its caller's deadline.
 func (r *Router) onlyTriedHave(req *request) bool {
 	if len(req.tried) == 0 {
@@ -83,18 +83,18 @@
 	return tried
 }
 
-// holdersFor returns the engines that may get a request and have its model and
-// adapter, and tells whether any has the model.
-func (r *Router) holdersFor(req *request) (both []*backend, base bool) {
+// holdersFor returns the engines that may get a request and have its model and adapter
+// loaded, and reports whether any engine that may get it has the model loaded.
+func (r *Router) holdersFor(req *request) (holders []*backend, modelLoaded bool) {
 	p := req.prompt
 	for _, b := range r.candidatesOf(req, r.holders(req.service, p.Model)) {
 		hasModel, hasAdapter := r.loaded(b, p.Model, p.Adapter)
 		if hasModel && hasAdapter {
-			both = append(both, b)
+			holders = append(holders, b)
 		}
-		base = base || hasModel
+		modelLoaded = modelLoaded || hasModel
 	}
-	return r.withRoom(both), base
+	return r.withRoom(holders), modelLoaded
 }
 
 func (r *Router) join(req *request, key waitKey) {
@@ -105,20 +105,20 @@
 	}
 	w.requests = append(w.requests, req)
 	req.waiting = w
-	w.touch()
+	w.markHomeDirty()
 	r.place(w)
 	if req.waiting == nil {
 		return
 	}
 	if w.home != nil {
-		req.cold = r.nearest(w)
+		req.cold = r.nearestCopy(w)
 		r.log(SingleRequest, "request waits for its model", req.attrs("at", w.home.Instance,
 			"ready_in", r.readyIn(w.home, key).String(), "waiting", len(w.requests))...)
 	}
 }
 
-// nearest is where the copy lies that the home of a queue would load.
-func (r *Router) nearest(w *wait) string {
+// nearestCopy returns where the copy is stored that the home of a queue would load.
+func (r *Router) nearestCopy(w *wait) string {
 	if w.key.adapter != "" {
 		return "adapter"
 	}
@@ -140,41 +140,42 @@
 	req.waiting = nil
 	req.waited = r.now.Sub(req.arrived)
 	w.requests = slices.DeleteFunc(w.requests, func(other *request) bool { return other == req })
-	w.touch()
+	w.markHomeDirty()
 	if len(w.requests) == 0 {
 		delete(r.waits, w.key)
 	}
 }
 
-// touch makes the home's loader be told of a change of the queue.
+// markHomeDirty makes the home's loader receive a new Demand after a change of the queue.
 //
-// It is called for changes only. Called whenever a queue was looked at, it made
-// each word of a loader be answered by all routers and each answer by the loader:
-// a thousand messages a second at each router while a few models were waited for.
-func (w *wait) touch() {
+// It must be called for changes only. Called at every check of a queue, it made all routers
+// answer each loader report and the loader answer each of these: a thousand messages a
+// second at each router while a few models were waited for.
+func (w *wait) markHomeDirty() {
 	if w.home != nil && w.home.loader != nil {
 		w.home.loader.dirty = true
 	}
 }
 
-// pumpAll looks at all waits again: what they wait for may be loaded, or may
-// come later than they can wait.
-func (r *Router) pumpAll() {
+// recheckAllWaits checks all waits again: the model may be loaded by now, or its load may
+// be predicted to end too late.
+func (r *Router) recheckAllWaits() {
 	if len(r.waits) == 0 {
 		return
 	}
 	keys := slices.SortedFunc(maps.Keys(r.waits), compareWaitKeys)
 	for _, key := range keys {
 		if w := r.waits[key]; w != nil {
-			r.pump(w)
+			r.recheckWait(w)
 		}
 	}
 }
 
-// pumpFor looks again at the waits that an engine's loader has news of. The others
-// are looked at with the next tick: of a large fleet's words most concern nobody
-// who waits here, and to look at all waits for each took a router half its time.
-func (r *Router) pumpFor(b *backend) {
+// recheckWaitsFor checks again the waits that a report of an engine's loader concerns. The
+// others are checked at the next tick: in a large fleet most reports concern no request
+// that waits here, and checking all waits for each report took half of a router's processor
+// time.
+func (r *Router) recheckWaitsFor(b *backend) {
 	var keys []waitKey
 	for key, w := range r.waits {
 		if key.service != b.Service {
@@ -187,7 +188,7 @@
 	slices.SortFunc(keys, compareWaitKeys)
 	for _, key := range keys {
 		if w := r.waits[key]; w != nil {
-			r.pump(w)
+			r.recheckWait(w)
 		}
 	}
 }
@@ -196,7 +197,7 @@
 	return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.model, b.model), cmp.Compare(a.adapter, b.adapter))
 }
 
-func (r *Router) pump(w *wait) {
+func (r *Router) recheckWait(w *wait) {
 	if r.isLoaded(w.key) {
 		for _, req := range slices.Clone(w.requests) {
 			r.dispatch(req)
@@ -218,11 +219,11 @@
 	return false
 }
 
-// place decides where a model that is waited for is loaded, and refuses the
-// requests for which that is too late.
+// place decides where a model that is waited for is loaded, and refuses the requests for
+// which that is too late.
 func (r *Router) place(w *wait) {
 	best, eta := r.bestHome(w)
-	if best == nil && r.loadersDue(w.key.service) {
+	if best == nil && r.loadersPending(w.key.service) {
 		return
 	}
 	if best == nil {
@@ -231,7 +232,7 @@
 	}
 	if w.home == nil || !r.canLoad(w.home, w.key) {
 		r.moveHome(w, best)
-	} else if current := r.servedIn(w.home, w); eta+moveGain < current {
+	} else if current := r.firstEventIn(w.home, w); eta+minMoveGain < current {
 		r.moveHome(w, best)
 	} else {
 		eta = current
@@ -241,28 +242,28 @@
 
 // refuseAll refuses the requests for a model that no engine can load.
 func (r *Router) refuseAll(w *wait) {
-	after := unknownReturn
+	after := defaultRetryAfter
 	if r.withoutLoader(w.key.service) {
-		after = noLoaderReturn
+		after = noLoaderRetryAfter
 	}
 	for _, req := range slices.Clone(w.requests) {
 		if req.mayHaveRun {
 			r.giveUp(req, code.NoBackend, "no engine can load the model now")
 			continue
 		}
-		r.finish(req, code.NoBackend, r.returnIn(after), "no engine can load the model now")
+		r.finish(req, code.NoBackend, r.retryAfterIn(after), "no engine can load the model now")
 	}
 }
 
-// withoutLoader tells that no engine of a service has a loader that answers, and logs
-// that once until one does. Without loaders nothing is loaded, so that what stands in
-// the engines is all that can be served, and each other request would need a line of
-// its own to tell why it was refused.
+// withoutLoader reports whether no engine of a service has a loader that answers, and logs
+// the start of that state once. Without loaders no model can be loaded, so that only loaded
+// models can be served, and otherwise each refused request would need a log line of its own
+// to explain the cause.
 func (r *Router) withoutLoader(service string) bool {
 	s := r.service(service)
-	// One that was found a moment ago may have one yet: a fleet that returns is not
-	// without loaders, and its callers would come back seconds late.
-	mayHave := func(b *backend) bool { return r.holdings(b) != nil || r.now.Sub(b.foundAt) < noLoaderReturn }
+	// The loader of an engine found a moment ago may still connect: a fleet that starts
+	// again is not without loaders, and its callers would retry seconds too late.
+	mayHave := func(b *backend) bool { return r.holdings(b) != nil || r.now.Sub(b.foundAt) < noLoaderRetryAfter }
 	none := !slices.ContainsFunc(r.serversOf(service), mayHave)
 	if none && !s.withoutLoader {
 		r.log(StateChange, "no engine of the service has a loader that answers; only models that are loaded are served",
@@ -272,9 +273,9 @@
 	return none
 }
 
-// loadersDue tells that an engine was found so lately that its loader may still
-// connect. Those who wait for a model are not refused before it has had the time.
-func (r *Router) loadersDue(service string) bool {
+// loadersPending reports whether an engine was found so recently that its loader may still
+// connect. Requests that wait for a model are not refused before that.
+func (r *Router) loadersPending(service string) bool {
 	for _, b := range r.serversOf(service) {
 		if b.unlistedAt == 0 && r.holdings(b) == nil && r.now.Sub(b.foundAt) < loaderGrace {
 			return true
@@ -283,29 +284,29 @@
 	return false
 }
 
-// moveHome changes the engine that is asked, and tells both.
+// moveHome changes the engine that is asked to load the model, and notifies both loaders.
 func (r *Router) moveHome(w *wait, to *backend) {
-	w.touch()
+	w.markHomeDirty()
 	w.home = to
-	w.touch()
+	w.markHomeDirty()
 }
 
-// refuseLate refuses the requests whose time ends before the first event, which
-// is predicted after eta. Held longer, each would wait in vain, and its caller
-// could not go elsewhere.
+// refuseLate refuses the requests whose deadline is before the first event, which is
+// predicted after eta. Held longer, each would wait in vain, and its caller could not go
+// elsewhere.
 func (r *Router) refuseLate(w *wait, eta time.Duration) {
 	for _, req := range slices.Clone(w.requests) {
 		if !r.endsInTime(req, eta) {
 			r.refuseAtStop(req)
 			continue
 		}
-		if r.now.Add(eta) < req.firstBy {
+		if r.now.Add(eta) < req.firstEventDeadline {
 			continue
 		}
 		if req.mayHaveRun {
 			r.giveUp(req, code.OutcomeUnknown, "the model would be loaded too late")
 			continue
 		}
-		r.finish(req, code.DeadlineUnmet, r.returnIn(eta), "the model would be loaded too late")
+		r.finish(req, code.DeadlineUnmet, r.retryAfterIn(eta), "the model would be loaded too late")
 	}
 }
