--- a/internal/router/choose_bench_test.go
+++ b/internal/router/choose_bench_test.go
@@ -8,16 +8,16 @@
 	"nutmeglane.example/nutmeglane/internal/work"
 )
 
-// BenchmarkChoose is one decision on where a generation goes, among so many
-// engines that have its model, beside 26 other routers.
+// BenchmarkChoose measures one decision on where a generation is sent, among the given
+// number of engines that have its model, beside 26 other routers.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{12, 50, 78, 300} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			w := newWorld(b)
+			w := newFixture(b)
 			w.servers(engineService, engines)
 			for i := range engines {
 				w.step(LoaderUp{Loader: loaderName(i)})
-				w.step(LoaderSaid{Loader: loaderName(i), Holdings: core.Holdings{
+				w.step(LoaderReported{Loader: loaderName(i), Holdings: core.Holdings{
 					Models: loadedModels("m1"), Running: 6, Unread: 2, Routers: largeRouters, Coordinator: "10.0.0.9",
 				}})
 			}
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -10,15 +10,15 @@
 	"nutmeglane.example/nutmeglane/internal/quota"
 )
 
-// quotaWorld is a router beside a loader that keeps the bounds of an account.
-type quotaWorld struct {
-	*world
+// quotaFixture is a router with a loader that keeps the quotas of an account.
+type quotaFixture struct {
+	*fixture
 	keeper *quota.Granter
 }
 
-// newQuotaWorld returns a router that has lent its share to the loader of an engine.
-func newQuotaWorld(t *testing.T) *quotaWorld {
-	w := &quotaWorld{world: newWorld(t), keeper: quota.NewGranter()}
+// newQuotaFixture returns a router that has lent its share to the loader of an engine.
+func newQuotaFixture(t *testing.T) *quotaFixture {
+	w := &quotaFixture{fixture: newFixture(t), keeper: quota.NewGranter()}
 	bounds := testBounds()
 	bounds.QuotaWindow, bounds.QuotaRouters = 8*time.Second, 1
 	w.router.SetBounds(bounds)
@@ -27,27 +27,27 @@
 	config.Accounts[0].Rate, config.Accounts[0].Burst = 100, 100
 	w.step(ConfigRead{Config: config})
 	for range 100 {
-		w.holds(0, core.Holdings{Models: loadedModels("m0")})
+		w.reportHoldings(0, core.Holdings{Models: loadedModels("m0")})
 		w.run(tickInterval)
 		w.answer()
 	}
 	return w
 }
 
-// answer lets the loader answer what it was asked.
-func (w *quotaWorld) answer() {
+// answer delivers the loader's answers to its questions.
+func (w *quotaFixture) answer() {
 	w.t.Helper()
 	asks := w.quotaAsks
 	w.quotaAsks = nil
 	for _, ask := range asks {
-		w.step(LoaderToldQuota{Loader: ask.Loader, Told: *w.keeper.HandleAsk(w.now, "10.0.0.1", ask.Ask)})
+		w.step(LoaderAnsweredQuota{Loader: ask.Loader, Answer: *w.keeper.HandleAsk(w.now, "10.0.0.1", ask.Ask)})
 	}
 }
 
-// Guards against a request that is refused, or sent without room in its account's bound, while
-// the loader is being asked.
-func TestRequestWaitsForItsAccountsRoom(t *testing.T) {
-	w := newQuotaWorld(t)
+// Guards against a request that is refused, or sent without quota of its account, while the
+// loader is being asked.
+func TestRequestWaitsForItsAccountsQuota(t *testing.T) {
+	w := newQuotaFixture(t)
 	key := w.callWith("again", validKey)
 	if _, ended := w.finishes[key]; ended || len(w.sends[key]) > 0 {
 		t.Fatalf("decided before the loader has answered: %+v", w.finishes[key])
@@ -56,21 +56,21 @@
 	w.wantCode(key, code.OK)
 }
 
-// Guards against tokens that are taken for a caller who has left.
-func TestCallerWhoLeavesWhileItWaitsForRoomIsForgotten(t *testing.T) {
-	w := newQuotaWorld(t)
+// Guards against tokens that are charged for a caller who has cancelled.
+func TestCallerWhoLeavesWhileWaitingForQuotaIsDropped(t *testing.T) {
+	w := newQuotaFixture(t)
 	key := w.callWith("again", validKey)
-	w.step(Gone{Key: key})
+	w.step(CallerLeft{Key: key})
 	w.answer()
 	if len(w.sends[key]) > 0 || len(w.router.requests) > 0 {
 		t.Errorf("%d sends, %d requests left", len(w.sends[key]), len(w.router.requests))
 	}
 }
 
-// An account asks for far more than it may. What is refused was not sent anywhere, and what
-// is served is within the bound.
-func TestAccountOverItsBoundIsRefused(t *testing.T) {
-	w := newQuotaWorld(t)
+// An account requests far more than its quota. Refused requests must not be sent anywhere,
+// and what is served must be within the quota.
+func TestAccountOverItsQuotaIsRefused(t *testing.T) {
+	w := newQuotaFixture(t)
 	refused, served := 0, 0
 	for range 2000 {
 		key := w.callWith("again", validKey)
