--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -108,18 +108,18 @@
 			result, instance, err := p.engine.Order(context.Background(), e.Order)
 			p.step(loader.OrderDone{Order: e.Order, Result: result, Instance: instance, Err: err})
 		})
-	case loader.Tell:
+	case loader.SendHoldings:
 		p.links.SendAll(e.Routers, e.Holdings)
-	case loader.TellCounts:
+	case loader.SendCounts:
 		p.links.SendAll(e.Routers, e.Counts)
-	case loader.AskSpec:
+	case loader.RequestSpec:
 		p.links.Do(core.Send{To: e.Router, Message: core.SpecWanted{}})
-	case loader.TellQuota:
-		p.links.Do(core.Send{To: e.Router, Message: e.Told})
-	case loader.TellLimit:
-		p.links.SendAll(e.Routers, e.Told)
-	case loader.PassOn:
-		p.links.SendAll(e.Routers, e.News)
+	case loader.SendQuota:
+		p.links.Do(core.Send{To: e.Router, Message: e.Answer})
+	case loader.SendLimit:
+		p.links.SendAll(e.Routers, e.Limit)
+	case loader.Forward:
+		p.links.SendAll(e.Routers, e.Message)
 	case loader.Wake:
 		p.timer.Reset(max(0, clock.Until(e.At)))
 	case loader.Log:
@@ -141,23 +141,23 @@
 	case core.Received:
 		switch m := e.Message.(type) {
 		case core.Demand:
-			p.step(loader.RouterSaid{Router: e.From, Demand: m})
+			p.step(loader.DemandReceived{Router: e.From, Demand: m})
 		case core.RegistryNews:
-			p.step(loader.RouterRead{Router: e.From, News: m})
+			p.step(loader.RegistryNewsReceived{Router: e.From, News: m})
 		case core.ConfigSpread:
-			p.step(loader.RouterSpreadConfig{Router: e.From, Spread: m})
+			p.step(loader.ConfigSpreadReceived{Router: e.From, Spread: m})
 		case core.LoadDigest:
-			p.step(loader.RouterPassedDigest{Router: e.From, Digest: m})
+			p.step(loader.DigestReceived{Router: e.From, Digest: m})
 		case core.ConfigWanted:
-			p.step(loader.RouterWantsConfig{Router: e.From, Above: m.Above})
+			p.step(loader.ConfigRequested{Router: e.From, Above: m.Above})
 		case core.ConfigPassed:
-			p.step(loader.RouterPassedConfig{Router: e.From, Config: m})
+			p.step(loader.ConfigReceived{Router: e.From, Config: m})
 		case core.QuotaAsk:
-			p.step(loader.RouterAskedQuota{Router: e.From, Ask: m})
+			p.step(loader.QuotaRequested{Router: e.From, Ask: m})
 		case core.LimitAsk:
-			p.step(loader.RouterAskedLimit{Router: e.From, Ask: m})
+			p.step(loader.LimitRequested{Router: e.From, Ask: m})
 		case core.PoisonNews:
-			p.step(loader.RouterTold{Router: e.From, News: m})
+			p.step(loader.PoisonNewsReceived{Router: e.From, News: m})
 		}
 	}
 }
--- a/internal/loader/config.go
+++ b/internal/loader/config.go
@@ -45,12 +45,12 @@
 func (l *Loader) configWanted(router core.HostID, above int64) {
 	c := &l.configs
 	if c.kept.Version > above {
-		l.emit(PassOn{Routers: []core.HostID{router}, News: c.kept})
+		l.emit(Forward{Routers: []core.HostID{router}, Message: c.kept})
 		return
 	}
 	c.waiting[router] = above
 	if c.newest > above && l.routers[c.had] != nil && c.had != router {
-		l.emit(PassOn{Routers: []core.HostID{c.had}, News: core.ConfigWanted{Above: above}})
+		l.emit(Forward{Routers: []core.HostID{c.had}, Message: core.ConfigWanted{Above: above}})
 		return
 	}
 	// Who has it is not known, or gone: anybody may. Whoever asked asks again, and then
@@ -58,7 +58,7 @@
 	for range min(anyAsked, len(l.names)) {
 		c.asks++
 		if name := l.names[c.asks%len(l.names)]; name != router {
-			l.emit(PassOn{Routers: []core.HostID{name}, News: core.ConfigWanted{Above: above}})
+			l.emit(Forward{Routers: []core.HostID{name}, Message: core.ConfigWanted{Above: above}})
 		}
 	}
 }
@@ -80,6 +80,6 @@
 	}
 	if len(to) > 0 {
 		l.log("configuration passed on", slog.Int64("version", passed.Version), slog.Int("bytes", len(passed.Data)), slog.Int("routers", len(to)))
-		l.emit(PassOn{Routers: to, News: passed})
+		l.emit(Forward{Routers: to, Message: passed})
 	}
 }
--- a/internal/loader/config_test.go
+++ b/internal/loader/config_test.go
@@ -25,18 +25,18 @@
 func TestConfigurationIsPassedOn(t *testing.T) {
 	w := newWorld(t)
 	w.step(RouterUp{Router: cutName})
-	w.step(RouterRead{Router: readerName, News: core.RegistryNews{From: 1, To: 2, Config: 7}})
-	w.step(RouterWantsConfig{Router: cutName, Above: 6})
+	w.step(RegistryNewsReceived{Router: readerName, News: core.RegistryNews{From: 1, To: 2, Config: 7}})
+	w.step(ConfigRequested{Router: cutName, Above: 6})
 	if got, ok := w.lastPassed(readerName).(core.ConfigWanted); !ok || got.Above != 6 {
 		t.Fatalf("the reader was sent %+v", w.lastPassed(readerName))
 	}
-	w.step(RouterPassedConfig{Router: readerName, Config: core.ConfigPassed{Version: 7, Data: []byte("x")}})
+	w.step(ConfigReceived{Router: readerName, Config: core.ConfigPassed{Version: 7, Data: []byte("x")}})
 	if got, ok := w.lastPassed(cutName).(core.ConfigPassed); !ok || got.Version != 7 {
 		t.Fatalf("who asked was sent %+v", w.lastPassed(cutName))
 	}
 	asked := len(w.passed[readerName])
 	w.step(RouterUp{Router: "10.0.0.3"})
-	w.step(RouterWantsConfig{Router: "10.0.0.3", Above: 0})
+	w.step(ConfigRequested{Router: "10.0.0.3", Above: 0})
 	if got, ok := w.lastPassed("10.0.0.3").(core.ConfigPassed); !ok || got.Version != 7 {
 		t.Errorf("the next one was sent %+v", w.lastPassed("10.0.0.3"))
 	}
@@ -50,15 +50,15 @@
 func TestOldConfigurationIsNotPassedOn(t *testing.T) {
 	w := newWorld(t)
 	w.step(RouterUp{Router: cutName})
-	w.step(RouterPassedConfig{Router: readerName, Config: core.ConfigPassed{Version: 7}})
-	w.step(RouterWantsConfig{Router: cutName, Above: 7})
-	w.step(RouterPassedConfig{Router: readerName, Config: core.ConfigPassed{Version: 5}})
+	w.step(ConfigReceived{Router: readerName, Config: core.ConfigPassed{Version: 7}})
+	w.step(ConfigRequested{Router: cutName, Above: 7})
+	w.step(ConfigReceived{Router: readerName, Config: core.ConfigPassed{Version: 5}})
 	if got := w.lastPassed(cutName); got != nil {
 		if _, isConfig := got.(core.ConfigPassed); isConfig {
 			t.Errorf("sent %+v", got)
 		}
 	}
-	w.step(RouterWantsConfig{Router: cutName, Above: 6})
+	w.step(ConfigRequested{Router: cutName, Above: 6})
 	if got, ok := w.lastPassed(cutName).(core.ConfigPassed); !ok || got.Version != 7 {
 		t.Errorf("sent %+v", w.lastPassed(cutName))
 	}
@@ -74,7 +74,7 @@
 	asked := map[core.HostID]bool{}
 	for tries := range 10 {
 		w.passed = map[core.HostID][]core.Message{}
-		w.step(RouterWantsConfig{Router: routerName(0), Above: 6})
+		w.step(ConfigRequested{Router: routerName(0), Above: 6})
 		if len(w.passed) == 0 || len(w.passed) > anyAsked {
 			t.Fatalf("try %d asked %d routers", tries, len(w.passed))
 		}
--- a/internal/loader/digest_test.go
+++ b/internal/loader/digest_test.go
@@ -108,10 +108,10 @@
 	from := w.loader.coordinator()
 	clear(w.passed)
 	for part := range parts {
-		w.step(RouterPassedDigest{Router: from, Digest: core.LoadDigest{From: from, Part: part, Parts: parts}})
+		w.step(DigestReceived{Router: from, Digest: core.LoadDigest{From: from, Part: part, Parts: parts}})
 	}
 	w.wantPassedOnce(from)
-	w.step(RouterPassedDigest{Router: from, Digest: core.LoadDigest{From: from}}) // no parts: malformed
+	w.step(DigestReceived{Router: from, Digest: core.LoadDigest{From: from}}) // no parts: malformed
 }
 
 // Guards against a coordinator on a small host, which can't hear a large fleet.
@@ -137,11 +137,11 @@
 	clear(w.passed)
 	config := core.ConfigPassed{Version: 9, Data: []byte("declared")}
 	for part := range parts {
-		w.step(RouterSpreadConfig{Router: from, Spread: core.ConfigSpread{Part: part, Parts: parts, Config: config}})
+		w.step(ConfigSpreadReceived{Router: from, Spread: core.ConfigSpread{Part: part, Parts: parts, Config: config}})
 	}
 	w.wantPassedOnce(from)
 	w.step(RouterUp{Router: "10.9.9.9"})
-	w.step(RouterWantsConfig{Router: "10.9.9.9", Above: 8})
+	w.step(ConfigRequested{Router: "10.9.9.9", Above: 8})
 	if len(w.passed["10.9.9.9"]) != 1 {
 		t.Error("a router that asks later does not get it")
 	}
--- a/internal/loader/ended_test.go
+++ b/internal/loader/ended_test.go
@@ -32,7 +32,7 @@
 		t.Error("not told that it ended")
 	}
 	spec := testSpec()
-	w.step(RouterSaid{Router: "10.0.0.1", Demand: core.Demand{Engine: &spec, Instance: "i-2"}})
+	w.step(DemandReceived{Router: "10.0.0.1", Demand: core.Demand{Engine: &spec, Instance: "i-2"}})
 	w.run(2 * time.Second)
 	if told := w.told["10.0.0.1"]; told.Ended || told.Instance != "i-2" {
 		t.Errorf("told of %s, ended %t: the next life does not listen yet", told.Instance, told.Ended)
@@ -68,11 +68,11 @@
 	w := newWorld(t)
 	w.step(RouterUp{Router: "10.0.0.2"})
 	end := core.ServerEnd{Life: core.ServerLife{Instance: "i-9"}, Address: "10.1.0.9:1", Requests: []core.LostRequest{{Fingerprint: 1}, {Fingerprint: 2}}}
-	w.step(RouterTold{Router: "10.0.0.1", News: core.PoisonNews{Ends: []core.ServerEnd{end}}})
+	w.step(PoisonNewsReceived{Router: "10.0.0.1", News: core.PoisonNews{Ends: []core.ServerEnd{end}}})
 	if got := w.passed["10.0.0.2"]; len(got) != 1 || len(w.passed["10.0.0.1"]) != 0 {
 		t.Fatalf("passed on to the other %v, to the teller %v", got, w.passed["10.0.0.1"])
 	}
-	w.step(RouterTold{Router: "10.0.0.1", News: core.PoisonNews{Cleared: []core.Fingerprint{2}}})
+	w.step(PoisonNewsReceived{Router: "10.0.0.1", News: core.PoisonNews{Cleared: []core.Fingerprint{2}}})
 	w.now = w.now.Add(time.Second)
 	w.step(RouterUp{Router: "10.0.0.3"})
 	got, ok := w.passed["10.0.0.3"][0].(core.PoisonNews)
--- a/internal/loader/event.go
+++ b/internal/loader/event.go
@@ -10,145 +10,148 @@
 // Event is an input of the reducer.
 type Event interface{ event() }
 
-// Tick tells that a time asked for by Wake has come.
+// Tick reports that a time requested by Wake has come.
 type Tick struct{}
 
-// ReportRead is the engine's state, or the reason why it could not be read.
+// ReportRead is the result of reading the engine's report, or the error.
 type ReportRead struct {
 	Report fleet.Report
 	Err    error
 }
 
-// OrderDone is what became of an order.
+// OrderDone is the result of an order.
 type OrderDone struct {
 	Order  fleet.Order
 	Result fleet.OrderResult
-	// Instance is the engine's own name for itself, "" if it did not tell.
+	// Instance is the instance that the engine's answer names, "" if none.
 	Instance string
 	Err      error
 }
 
-// RouterUp and RouterDown report the connection to a router.
+// RouterUp and RouterDown report that a router connected or disconnected.
 type (
 	RouterUp   struct{ Router core.HostID }
 	RouterDown struct{ Router core.HostID }
 )
 
-// RouterSaid is a message from a router.
-type RouterSaid struct {
+// DemandReceived is a router's demand.
+type DemandReceived struct {
 	Router core.HostID
 	Demand core.Demand
 }
 
-// RouterRead is news of the registry that a router wants passed on.
-type RouterRead struct {
+// RegistryNewsReceived is a change of the registry that a router wants forwarded to the
+// others.
+type RegistryNewsReceived struct {
 	Router core.HostID
 	News   core.RegistryNews
 }
 
-// RouterSpreadConfig is a configuration that a router wants passed on to a part of the others.
-type RouterSpreadConfig struct {
+// ConfigSpreadReceived is a configuration that a router wants forwarded to a part of the
+// others.
+type ConfigSpreadReceived struct {
 	Router core.HostID
 	Spread core.ConfigSpread
 }
 
-// RouterPassedDigest is a digest that a router wants passed on.
-type RouterPassedDigest struct {
+// DigestReceived is a load digest that a router wants forwarded.
+type DigestReceived struct {
 	Router core.HostID
 	Digest core.LoadDigest
 }
 
-// RouterTold is news of poison requests that a router wants passed on.
-type RouterTold struct {
+// PoisonNewsReceived is news of poison requests that a router wants forwarded.
+type PoisonNewsReceived struct {
 	Router core.HostID
 	News   core.PoisonNews
 }
 
-// RouterAskedQuota is a router's question for tokens of client accounts.
-type RouterAskedQuota struct {
+// QuotaRequested is a router's request for tokens of client accounts.
+type QuotaRequested struct {
 	Router core.HostID
 	Ask    core.QuotaAsk
 }
 
-// RouterAskedLimit is a router's word on a server's limit, or its question for a permit.
-type RouterAskedLimit struct {
+// LimitRequested is a router's report of a server's limit, its request for a permit, or
+// both.
+type LimitRequested struct {
 	Router core.HostID
 	Ask    core.LimitAsk
 }
 
-// RouterWantsConfig is a router's question for a configuration above a version.
-type RouterWantsConfig struct {
+// ConfigRequested is a router's request for a configuration newer than a version.
+type ConfigRequested struct {
 	Router core.HostID
 	Above  int64
 }
 
-// RouterPassedConfig is a router's answer to that question.
-type RouterPassedConfig struct {
+// ConfigReceived is a router's answer to a request for a configuration.
+type ConfigReceived struct {
 	Router core.HostID
 	Config core.ConfigPassed
 }
 
-func (RouterWantsConfig) event()  {}
-func (RouterPassedConfig) event() {}
-func (RouterAskedQuota) event()   {}
-func (RouterAskedLimit) event()   {}
-func (RouterPassedDigest) event() {}
-func (RouterSpreadConfig) event() {}
-func (RouterTold) event()         {}
-func (RouterRead) event()         {}
-func (Tick) event()               {}
-func (ReportRead) event()         {}
-func (OrderDone) event()          {}
-func (RouterUp) event()           {}
-func (RouterDown) event()         {}
-func (RouterSaid) event()         {}
+func (ConfigRequested) event()      {}
+func (ConfigReceived) event()       {}
+func (QuotaRequested) event()       {}
+func (LimitRequested) event()       {}
+func (DigestReceived) event()       {}
+func (ConfigSpreadReceived) event() {}
+func (PoisonNewsReceived) event()   {}
+func (RegistryNewsReceived) event() {}
+func (Tick) event()                 {}
+func (ReportRead) event()           {}
+func (OrderDone) event()            {}
+func (RouterUp) event()             {}
+func (RouterDown) event()           {}
+func (DemandReceived) event()       {}
 
 // Effect is an output of the reducer.
 type Effect interface{ effect() }
 
-// ReadReport asks for the engine's state. ReportRead follows.
+// ReadReport requests the engine's report. ReportRead follows.
 type ReadReport struct{}
 
 // SendOrder sends an order. OrderDone follows.
 type SendOrder struct{ Order fleet.Order }
 
-// Tell sends the same message to routers.
-type Tell struct {
+// SendHoldings sends the holdings to routers.
+type SendHoldings struct {
 	Routers  []core.HostID
 	Holdings core.Holdings
 }
 
-// TellCounts sends routers the engine's counts.
-type TellCounts struct {
+// SendCounts sends the engine's counts to routers.
+type SendCounts struct {
 	Routers []core.HostID
 	Counts  core.Counts
 }
 
-// TellQuota answers a router's question for tokens of client accounts.
-type TellQuota struct {
+// SendQuota answers a router's request for tokens of client accounts.
+type SendQuota struct {
 	Router core.HostID
-	Told   core.QuotaTold
+	Answer core.QuotaTold
 }
 
-// TellLimit sends routers what they are to know of a server's limit.
-type TellLimit struct {
+// SendLimit sends a server's limit, or the answer to a request for a permit, to routers.
+type SendLimit struct {
 	Routers []core.HostID
-	Told    core.LimitTold
+	Limit   core.LimitTold
 }
 
-// AskSpec asks a router for the engine's configuration that it named.
-type AskSpec struct{ Router core.HostID }
+// RequestSpec asks a router for the engine's configuration that it announced.
+type RequestSpec struct{ Router core.HostID }
 
-// PassOn sends routers what another one has read, told earlier, or asks for.
-type PassOn struct {
+// Forward sends routers a message from another router, or one on its behalf.
+type Forward struct {
 	Routers []core.HostID
-	News    core.Message
+	Message core.Message
 }
 
-// Wake asks for a Tick in place of the one asked for before.
+// Wake requests a Tick and replaces the previous request.
 type Wake struct{ At core.Time }
 
-// Log is a line for operators.
+// Log is a log line.
 type Log struct {
 	Message string
 	Attrs   []slog.Attr
@@ -160,18 +163,18 @@
 	Observe struct{ core.Observe }
 )
 
-func (ReadReport) effect() {}
-func (SendOrder) effect()  {}
-func (Tell) effect()       {}
-func (TellCounts) effect() {}
-func (TellQuota) effect()  {}
-func (TellLimit) effect()  {}
-func (AskSpec) effect()    {}
-func (PassOn) effect()     {}
-func (Wake) effect()       {}
-func (Log) effect()        {}
-func (Count) effect()      {}
-func (Observe) effect()    {}
+func (ReadReport) effect()   {}
+func (SendOrder) effect()    {}
+func (SendHoldings) effect() {}
+func (SendCounts) effect()   {}
+func (SendQuota) effect()    {}
+func (SendLimit) effect()    {}
+func (RequestSpec) effect()  {}
+func (Forward) effect()      {}
+func (Wake) effect()         {}
+func (Log) effect()          {}
+func (Count) effect()        {}
+func (Observe) effect()      {}
 
 // The metrics of a loader.
 const (
--- a/internal/loader/large_bench_test.go
+++ b/internal/loader/large_bench_test.go
@@ -46,7 +46,7 @@
 			if i%9 == 0 {
 				demand.Wants = []core.Want{{Model: largeWaitingModel, Waiting: 1, Within: time.Second}}
 			}
-			w.step(RouterSaid{Router: largeRouter(i % routers), Demand: demand})
+			w.step(DemandReceived{Router: largeRouter(i % routers), Demand: demand})
 		}
 	}
 }
--- a/internal/loader/limits_test.go
+++ b/internal/loader/limits_test.go
@@ -16,7 +16,7 @@
 	}
 	word := core.LimitWord{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
 	server := core.ServerLife{Instance: "s"}
-	w.step(RouterAskedLimit{Router: "r1", Ask: core.LimitAsk{Server: server, Word: word}})
+	w.step(LimitRequested{Router: "r1", Ask: core.LimitAsk{Server: server, Word: word}})
 	w.step(RouterUp{Router: "r3"})
 	for _, name := range []core.HostID{"r1", "r2", "r3"} {
 		told := w.limits[name]
@@ -24,7 +24,7 @@
 			t.Errorf("%s was told %+v, want the limit once", name, told)
 		}
 	}
-	w.step(RouterAskedLimit{Router: "r2", Ask: core.LimitAsk{Server: server, Word: word, Ask: 7}})
+	w.step(LimitRequested{Router: "r2", Ask: core.LimitAsk{Server: server, Word: word, Ask: 7}})
 	if n := len(w.limits["r1"]) + len(w.limits["r3"]); n != 2 {
 		t.Errorf("the others were told %d times of a question", n-2)
 	}
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -149,34 +149,34 @@
 		l.dropRouter(e.Router)
 		delete(l.configs.waiting, e.Router)
 		l.log("router lost", slog.String("router", string(e.Router)))
-	case RouterRead:
+	case RegistryNewsReceived:
 		l.heardOfConfig(e.Router, e.News.Config)
 		l.passOn(e.Router, e.News)
 		return l.out
-	case RouterWantsConfig:
+	case ConfigRequested:
 		l.configWanted(e.Router, e.Above)
 		return l.out
-	case RouterPassedConfig:
+	case ConfigReceived:
 		l.configPassed(e.Router, e.Config)
 		return l.out
-	case RouterPassedDigest:
+	case DigestReceived:
 		l.passToPart(e.Router, e.Digest.Part, e.Digest.Parts, e.Digest)
 		return l.out
-	case RouterSpreadConfig:
+	case ConfigSpreadReceived:
 		l.configPassed(e.Router, e.Spread.Config)
 		l.passToPart(e.Router, e.Spread.Part, e.Spread.Parts, e.Spread.Config)
 		return l.out
-	case RouterTold:
+	case PoisonNewsReceived:
 		l.ledger.Hear(now, e.News)
 		l.passOn(e.Router, e.News)
 		return l.out
-	case RouterAskedQuota:
-		l.emit(TellQuota{Router: e.Router, Told: *l.quotas.Ask(now, e.Router, e.Ask)})
+	case QuotaRequested:
+		l.emit(SendQuota{Router: e.Router, Answer: *l.quotas.Ask(now, e.Router, e.Ask)})
 		return l.out
-	case RouterAskedLimit:
+	case LimitRequested:
 		l.limitAsked(e)
 		return l.out
-	case RouterSaid:
+	case DemandReceived:
 		if before := l.routerSaid(e); !l.actsOn(before, e.Demand) {
 			return l.out
 		}
@@ -196,7 +196,7 @@
 }
 
 // routerSaid takes a router's demand and returns the one before.
-func (l *Loader) routerSaid(e RouterSaid) core.Demand {
+func (l *Loader) routerSaid(e DemandReceived) core.Demand {
 	r := l.routers[e.Router]
 	if r == nil {
 		return core.Demand{}
@@ -225,7 +225,7 @@
 func (l *Loader) passOn(from core.HostID, news core.Message) {
 	others := slices.DeleteFunc(slices.Clone(l.names), func(name core.HostID) bool { return name == from })
 	if len(others) > 0 {
-		l.emit(PassOn{Routers: others, News: news})
+		l.emit(Forward{Routers: others, Message: news})
 	}
 }
 
@@ -241,7 +241,7 @@
 		}
 	}
 	if len(to) > 0 {
-		l.emit(PassOn{Routers: to, News: news})
+		l.emit(Forward{Routers: to, Message: news})
 	}
 }
 
@@ -251,7 +251,7 @@
 func (l *Loader) tellPoison(router core.HostID) {
 	l.ledger.Forget(l.now)
 	if ends := l.ledger.All(l.now); len(ends) > 0 {
-		l.emit(PassOn{Routers: []core.HostID{router}, News: core.PoisonNews{Ends: ends}})
+		l.emit(Forward{Routers: []core.HostID{router}, Message: core.PoisonNews{Ends: ends}})
 	}
 }
 
--- a/internal/loader/merge_test.go
+++ b/internal/loader/merge_test.go
@@ -24,7 +24,7 @@
 		case random.IntN(8) == 0:
 			w.step(RouterDown{Router: name})
 		default:
-			w.step(RouterSaid{Router: name, Demand: core.Demand{Instance: "i-1", Uses: randomUses(random)}})
+			w.step(DemandReceived{Router: name, Demand: core.Demand{Instance: "i-1", Uses: randomUses(random)}})
 		}
 		w.loader.merged.forget()
 		checkUses(t, w.loader)
--- a/internal/loader/restart_test.go
+++ b/internal/loader/restart_test.go
@@ -76,9 +76,9 @@
 // instance. Orders to it would be refused one by one until the router reads again.
 func TestRoutersOldWordDoesNotNameTheEngine(t *testing.T) {
 	w := bornWorld(t)
-	w.step(RouterSaid{Router: "10.0.0.1", Demand: core.Demand{Instance: "i-1", Born: firstBorn}})
+	w.step(DemandReceived{Router: "10.0.0.1", Demand: core.Demand{Instance: "i-1", Born: firstBorn}})
 	w.step(RouterUp{Router: "10.0.0.2"})
-	w.step(RouterSaid{Router: "10.0.0.2", Demand: core.Demand{Instance: "i-0", Born: firstBorn - 5000}})
+	w.step(DemandReceived{Router: "10.0.0.2", Demand: core.Demand{Instance: "i-0", Born: firstBorn - 5000}})
 	if got := w.loader.engine.life.Instance; got != "i-1" {
 		t.Fatalf("engine is called %s", got)
 	}
--- a/internal/loader/spec.go
+++ b/internal/loader/spec.go
@@ -73,7 +73,7 @@
 	}
 	l.nextSpec = l.now.Add(specPatience)
 	l.specAsks++
-	l.emit(AskSpec{Router: have[l.specAsks%len(have)]})
+	l.emit(RequestSpec{Router: have[l.specAsks%len(have)]})
 }
 
 func (l *Loader) tierOf(model string) tier {
--- a/internal/loader/spec_test.go
+++ b/internal/loader/spec_test.go
@@ -12,7 +12,7 @@
 // names lets a router name the configuration that it has.
 func (w *world) names(router core.HostID, version int64, hash uint64) {
 	w.t.Helper()
-	w.step(RouterSaid{Router: router, Demand: core.Demand{Instance: "i-1", Spec: core.SpecID{Version: version, Hash: hash}}})
+	w.step(DemandReceived{Router: router, Demand: core.Demand{Instance: "i-1", Spec: core.SpecID{Version: version, Hash: hash}}})
 }
 
 // 20 routers connect within some ms, and each has the engine's configuration, 11 KB of it.
@@ -28,7 +28,7 @@
 		t.Fatalf("asked %v, want one router", w.specAsks)
 	}
 	spec := testSpec()
-	w.step(RouterSaid{Router: w.specAsks[0], Demand: core.Demand{Engine: &spec}})
+	w.step(DemandReceived{Router: w.specAsks[0], Demand: core.Demand{Engine: &spec}})
 	w.run(time.Second)
 	if len(w.specAsks) != 1 {
 		t.Errorf("asked %v again", w.specAsks)
--- a/internal/loader/tell.go
+++ b/internal/loader/tell.go
@@ -163,11 +163,11 @@
 
 func (l *Loader) emitHoldings(holdings core.Holdings) {
 	if len(l.told.whole) > 0 {
-		l.emit(Tell{Routers: l.told.whole, Holdings: holdings})
+		l.emit(SendHoldings{Routers: l.told.whole, Holdings: holdings})
 	}
 	if len(l.told.light) > 0 {
 		holdings.InMemory, holdings.OnDisk, holdings.NearAsBefore = nil, nil, true
-		l.emit(Tell{Routers: l.told.light, Holdings: holdings})
+		l.emit(SendHoldings{Routers: l.told.light, Holdings: holdings})
 	}
 }
 
@@ -183,7 +183,7 @@
 			know = append(know, r.name)
 		}
 	}
-	l.emit(TellCounts{Routers: know, Counts: holdings.Counts()})
+	l.emit(SendCounts{Routers: know, Counts: holdings.Counts()})
 }
 
 // steady tells whether holdings of the same shape as told before need not be told
--- a/internal/loader/tell_test.go
+++ b/internal/loader/tell_test.go
@@ -25,7 +25,7 @@
 	for i := range 20 {
 		w.now = w.now.Add(time.Millisecond)
 		jitter := time.Duration(i%2*4-2) * time.Millisecond
-		told += w.tells(RouterSaid{Router: "10.0.0.1", Demand: core.Demand{
+		told += w.tells(DemandReceived{Router: "10.0.0.1", Demand: core.Demand{
 			Instance: "i-1", Wants: []core.Want{want("m1", 2000*time.Millisecond+jitter)},
 		}})
 	}
@@ -38,7 +38,7 @@
 func (w *world) tells(event Event) int {
 	count := 0
 	for _, effect := range w.loader.Step(w.now, event) {
-		if tell, ok := effect.(Tell); ok {
+		if tell, ok := effect.(SendHoldings); ok {
 			count += len(tell.Routers)
 		}
 	}
@@ -57,9 +57,9 @@
 		for end := w.now.Add(d); w.now < end; w.now = w.now.Add(50 * time.Millisecond) {
 			for _, effect := range w.loader.Step(w.now, ReportRead{Report: w.engine.report}) {
 				switch effect.(type) {
-				case Tell:
+				case SendHoldings:
 					whole++
-				case TellCounts:
+				case SendCounts:
 					beats++
 				}
 			}
@@ -70,11 +70,11 @@
 	if whole != 0 || beats < 9 {
 		t.Errorf("%d messages in full and %d small ones in 10 s, want none and one a second", whole, beats)
 	}
-	w.loader.Step(w.now, RouterSaid{Router: "10.0.0.1", Demand: core.Demand{Instance: "i-1", Uses: []core.Use{{Model: "m0", Rate: 9, FastRate: 9}}}})
+	w.loader.Step(w.now, DemandReceived{Router: "10.0.0.1", Demand: core.Demand{Instance: "i-1", Uses: []core.Use{{Model: "m0", Rate: 9, FastRate: 9}}}})
 	for range 30 {
 		w.now = w.now.Add(50 * time.Millisecond)
 		for _, effect := range w.loader.Step(w.now, ReportRead{Report: w.engine.report}) {
-			if _, ok := effect.(Tell); ok {
+			if _, ok := effect.(SendHoldings); ok {
 				whole++
 			}
 		}
--- a/internal/loader/world_test.go
+++ b/internal/loader/world_test.go
@@ -89,7 +89,7 @@
 	w.t.Helper()
 	spec := testSpec()
 	d.Engine, d.Instance = &spec, "i-1"
-	w.step(RouterSaid{Router: router, Demand: d})
+	w.step(DemandReceived{Router: router, Demand: d})
 }
 
 func (w *world) step(event Event) {
@@ -99,7 +99,7 @@
 		switch e := effect.(type) {
 		case Wake:
 			w.wake = e.At
-		case Tell:
+		case SendHoldings:
 			for _, router := range e.Routers {
 				w.words[router]++
 				holdings := e.Holdings
@@ -108,19 +108,19 @@
 				}
 				w.told[router] = holdings
 			}
-		case TellCounts:
+		case SendCounts:
 			for _, router := range e.Routers {
 				w.words[router]++
 			}
-		case AskSpec:
+		case RequestSpec:
 			w.specAsks = append(w.specAsks, e.Router)
-		case TellLimit:
+		case SendLimit:
 			for _, name := range e.Routers {
-				w.limits[name] = append(w.limits[name], e.Told)
+				w.limits[name] = append(w.limits[name], e.Limit)
 			}
-		case PassOn:
+		case Forward:
 			for _, router := range e.Routers {
-				w.passed[router] = append(w.passed[router], e.News)
+				w.passed[router] = append(w.passed[router], e.Message)
 			}
 		case ReadReport:
 			report := w.engine.report
--- a/internal/router/digest_test.go
+++ b/internal/router/digest_test.go
@@ -85,21 +85,21 @@
 	effects := append([]loaderside.Effect(nil), f.loaders[name].Step(f.now, event)...)
 	for _, effect := range effects {
 		switch e := effect.(type) {
-		case loaderside.Tell:
+		case loaderside.SendHoldings:
 			for _, to := range e.Routers {
 				f.words++
 				f.send(name, to, e.Holdings)
 			}
-		case loaderside.TellCounts:
+		case loaderside.SendCounts:
 			for _, to := range e.Routers {
 				f.words++
 				f.send(name, to, e.Counts)
 			}
-		case loaderside.PassOn:
+		case loaderside.Forward:
 			for _, to := range e.Routers {
-				f.send(name, to, e.News)
+				f.send(name, to, e.Message)
 			}
-		case loaderside.AskSpec:
+		case loaderside.RequestSpec:
 			f.send(name, e.Router, core.SpecWanted{})
 		case loaderside.ReadReport:
 			f.loader(name, loaderside.ReportRead{Report: f.engine})
@@ -122,9 +122,9 @@
 	case connected:
 		f.loader(d.to, loaderside.RouterUp{Router: d.from})
 	case core.Demand:
-		f.loader(d.to, loaderside.RouterSaid{Router: d.from, Demand: m})
+		f.loader(d.to, loaderside.DemandReceived{Router: d.from, Demand: m})
 	case core.LoadDigest:
-		f.loader(d.to, loaderside.RouterPassedDigest{Router: d.from, Digest: m})
+		f.loader(d.to, loaderside.DigestReceived{Router: d.from, Digest: m})
 	}
 }
 
