--- a/internal/loader/tell_test.go
+++ b/internal/loader/announce_test.go
@@ -7,49 +7,49 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Two routers wait for two models whose objectives are missed at nearly the same
-// time. Each message shifts the estimates by some ms, so that the turns swap. The
-// loader told all routers of each swap, all answered, and a thousand messages a
-// second went to and fro: routers on small hosts had no time left for callers.
-func TestSwappedTurnsAreNoNews(t *testing.T) {
-	w := newWorld(t, "m0", "m2", "m4")
+// Two routers wait for two models whose objectives are missed at nearly the same time.
+// Each message shifts the estimates by some ms, so that the queue positions swap. When
+// the loader announced each swap to all routers, all answered, and a thousand messages a
+// second were exchanged: routers on small hosts had no time left for callers.
+func TestSwappedQueuePositionsAreNotAnnounced(t *testing.T) {
+	w := newHarness(t, "m0", "m2", "m4")
 	w.step(RouterUp{Router: "10.0.0.2"})
-	w.engine.report.Busy = true // another order is under way: none begins now
+	w.engine.report.Busy = true // another order is in progress: none is sent now
 	w.step(Tick{})
 	want := func(model string, within time.Duration) core.Want {
 		return core.Want{Model: model, Waiting: 1, Within: within}
 	}
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{want("m1", 2000*time.Millisecond)}})
 	w.demand("10.0.0.2", core.Demand{Wants: []core.Want{want("m3", 2001*time.Millisecond)}})
-	told := 0
+	sent := 0
 	for i := range 20 {
 		w.now = w.now.Add(time.Millisecond)
 		jitter := time.Duration(i%2*4-2) * time.Millisecond
-		told += w.tells(DemandReceived{Router: "10.0.0.1", Demand: core.Demand{
+		sent += w.countAnnounced(DemandReceived{Router: "10.0.0.1", Demand: core.Demand{
 			Instance: "i-1", Wants: []core.Want{want("m1", 2000*time.Millisecond+jitter)},
 		}})
 	}
-	if told != 0 {
-		t.Fatalf("%d messages to routers about swapped turns, wanted none", told)
+	if sent != 0 {
+		t.Fatalf("%d messages to routers about swapped queue positions, wanted none", sent)
 	}
 }
 
-// tells handles an event and counts the messages to routers.
-func (w *world) tells(event Event) int {
+// countAnnounced handles an event and counts the holdings sent to routers.
+func (w *harness) countAnnounced(event Event) int {
 	count := 0
 	for _, effect := range w.loader.Step(w.now, event) {
-		if tell, ok := effect.(SendHoldings); ok {
-			count += len(tell.Routers)
+		if send, ok := effect.(SendHoldings); ok {
+			count += len(send.Routers)
 		}
 	}
 	return count
 }
 
-// An engine at which nothing happens beats once a second. Told in full, its holdings
-// were nearly all of the bytes of a large fleet. Routers need to hear that the loader
-// lives, and its counts; a change of rates that matters is told in full.
+// An idle engine sends a heartbeat once a second. Sent with the holdings, heartbeats were
+// nearly all of the traffic of a large fleet. Routers need only the sign of life and the
+// counts; a significant change of rates must be sent with the holdings.
 func TestSteadyHeartbeatIsSmall(t *testing.T) {
-	w := newWorld(t, "m0", "m2")
+	w := newHarness(t, "m0", "m2")
 	w.demand("10.0.0.1", core.Demand{Uses: []core.Use{{Model: "m0", Rate: 5, FastRate: 5}}})
 	w.run(2 * HeartbeatInterval)
 	whole, beats := 0, 0
@@ -68,7 +68,7 @@
 	}
 	count(10 * time.Second)
 	if whole != 0 || beats < 9 {
-		t.Errorf("%d messages in full and %d small ones in 10 s, want none and one a second", whole, beats)
+		t.Errorf("%d messages with holdings and %d with counts only in 10 s, want none and one a second", whole, beats)
 	}
 	w.loader.Step(w.now, DemandReceived{Router: "10.0.0.1", Demand: core.Demand{Instance: "i-1", Uses: []core.Use{{Model: "m0", Rate: 9, FastRate: 9}}}})
 	for range 30 {
@@ -80,6 +80,6 @@
 		}
 	}
 	if whole == 0 {
-		t.Error("a rate that nearly doubled is not told")
+		t.Error("a rate that nearly doubled is not sent")
 	}
 }
--- a/internal/loader/config.go
+++ b/internal/loader/config.go
@@ -6,80 +6,87 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file helps routers that can't read a configuration from the platform's store.
+// This file forwards configurations between routers, for those that can't read the
+// platform's store.
 //
-// It answers this pattern: the store turns ten routers of 28 away for some seconds, just
-// while operators take keys away. They hear of the newer version from the others and can't
-// read it; without help they go on serving the keys until the store lets them in.
+// It covers this case: the store refuses ten routers of 28 for some seconds while
+// operators revoke keys. These routers learn of the newer version from the others but
+// can't read it, and would go on accepting the revoked keys until the store is reachable
+// again.
 //
-// Nothing is sent before a router asks, so that a change costs those who can read it
-// nothing. The loader keeps the newest that it passed on, some KB, for the next one.
+// Nothing is sent until a router asks, so a change costs nothing for routers that can
+// read it. The loader caches the newest configuration that it forwarded, some KB, for
+// later requests.
 
-// configs is what the loader knows of configurations.
-type configs struct {
-	// newest is the newest version that was heard of, had by a router.
-	newest int64
-	had    core.HostID
-	// kept is the newest that was passed on, Version 0 before the first.
-	kept core.ConfigPassed
-	// waiting are routers that asked and were not answered, with the version they have.
+// configRelay is the loader's state for forwarding configurations between routers.
+type configRelay struct {
+	// newestVersion is the newest version that any router reported, and holder is the
+	// router that reported it.
+	newestVersion int64
+	holder        core.HostID
+	// cached is the newest configuration that was forwarded; its Version is 0 before the
+	// first.
+	cached core.ConfigPassed
+	// waiting maps routers whose request is not answered yet to the version that they
+	// have.
 	waiting map[core.HostID]int64
-	// asks counts the routers that were asked without being known to have one.
-	asks int
+	// requested counts the requests to routers that are not known to have a newer
+	// configuration.
+	requested int
 }
 
-// anyAsked is how many routers are asked at once that are not known to have a newer
-// configuration. With all of 28, each of which answered with some KB, 14 changes cost
-// 6.9 MB where ten routers were turned away.
-const anyAsked = 3
+// maxConfigRequests is how many routers are asked at once when none is known to have a
+// newer configuration. Asking all of 28, each of which answered with some KB, transferred
+// 6.9 MB for 14 changes while the store refused ten routers.
+const maxConfigRequests = 3
 
-// heardOfConfig notes that a router has a version.
-func (l *Loader) heardOfConfig(router core.HostID, version int64) {
-	if version > l.configs.newest {
-		l.configs.newest, l.configs.had = version, router
+// noteConfigVersion records that a router has a version.
+func (l *Loader) noteConfigVersion(router core.HostID, version int64) {
+	if version > l.configs.newestVersion {
+		l.configs.newestVersion, l.configs.holder = version, router
 	}
 }
 
-// configWanted answers a router that asks for a newer configuration, or asks one that has
-// it.
-func (l *Loader) configWanted(router core.HostID, above int64) {
+// handleConfigRequest answers a router that asks for a newer configuration from the
+// cache, or else asks a router that may have one.
+func (l *Loader) handleConfigRequest(router core.HostID, above int64) {
 	c := &l.configs
-	if c.kept.Version > above {
-		l.emit(Forward{Routers: []core.HostID{router}, Message: c.kept})
+	if c.cached.Version > above {
+		l.emit(Forward{Routers: []core.HostID{router}, Message: c.cached})
 		return
 	}
 	c.waiting[router] = above
-	if c.newest > above && l.routers[c.had] != nil && c.had != router {
-		l.emit(Forward{Routers: []core.HostID{c.had}, Message: core.ConfigWanted{Above: above}})
+	if c.newestVersion > above && l.routers[c.holder] != nil && c.holder != router {
+		l.emit(Forward{Routers: []core.HostID{c.holder}, Message: core.ConfigWanted{Above: above}})
 		return
 	}
-	// Who has it is not known, or gone: anybody may. Whoever asked asks again, and then
-	// others are asked.
-	for range min(anyAsked, len(l.names)) {
-		c.asks++
-		if name := l.names[c.asks%len(l.names)]; name != router {
+	// No connected router is known to have it, so any router may. The requester repeats
+	// its request, and other routers are asked then.
+	for range min(maxConfigRequests, len(l.names)) {
+		c.requested++
+		if name := l.names[c.requested%len(l.names)]; name != router {
 			l.emit(Forward{Routers: []core.HostID{name}, Message: core.ConfigWanted{Above: above}})
 		}
 	}
 }
 
-// configPassed keeps a configuration and passes it on to the routers that wait for it.
-func (l *Loader) configPassed(from core.HostID, passed core.ConfigPassed) {
+// handleConfig caches a configuration and forwards it to the routers that wait for it.
+func (l *Loader) handleConfig(from core.HostID, config core.ConfigPassed) {
 	c := &l.configs
-	l.heardOfConfig(from, passed.Version)
-	if passed.Version > c.kept.Version {
-		c.kept = passed
+	l.noteConfigVersion(from, config.Version)
+	if config.Version > c.cached.Version {
+		c.cached = config
 	}
 	var to []core.HostID
 	for _, name := range l.names {
 		above, waits := c.waiting[name]
-		if waits && passed.Version > above {
+		if waits && config.Version > above {
 			to = append(to, name)
 			delete(c.waiting, name)
 		}
 	}
 	if len(to) > 0 {
-		l.log("configuration passed on", slog.Int64("version", passed.Version), slog.Int("bytes", len(passed.Data)), slog.Int("routers", len(to)))
-		l.emit(Forward{Routers: to, Message: passed})
+		l.log("configuration forwarded", slog.Int64("version", config.Version), slog.Int("bytes", len(config.Data)), slog.Int("routers", len(to)))
+		l.emit(Forward{Routers: to, Message: config})
 	}
 }
--- a/internal/loader/coordinator.go
+++ b/internal/loader/coordinator.go
@@ -7,50 +7,53 @@
 )
 
 const (
-	// knownFor is how long a router is connected before it is followed while another
-	// is that has been for as long: by then it has heard of all engines and of what
-	// is called, which a router that has just started has not.
-	knownFor = 3 * time.Second
-	// settleTime is how long a loader follows nobody after its first router
-	// connected: the time in which the others connect too, some ten ms each on small
+	// coordinatorMinAge is how long a router must have been connected to be preferred as
+	// coordinator. By then it has received the state of all engines and the current
+	// demand, which a router that has just started lacks.
+	coordinatorMinAge = 3 * time.Second
+	// startupDelay is how long a loader selects no coordinator after its first router
+	// connected. The other routers connect within this time, some ten ms each on small
 	// hosts.
-	settleTime = 500 * time.Millisecond
+	startupDelay = 500 * time.Millisecond
 )
 
-// coordinator is the router that the loader follows, "" if none: of those that have
-// been connected for long the strongest, of equal ones that of the lowest name; of a
-// fleet that has just started the same of all.
+// coordinator returns the router whose placement decisions the loader follows, "" if
+// none. Of the routers connected for at least coordinatorMinAge it is the one with the
+// largest processor share; ties go to the lowest name. If there is none, as in a fleet
+// that has just started, all connected routers count.
 //
-// It guards against many coordinators: a loader that had just started followed the
-// first router that reached it, for some ms, and that one shared out copies and loads
-// from the weight store as if no other did. When eight engines came at once, seven
-// routers had the same model read from the store, which then served none in time.
+// It guards against several coordinators at once: a loader that had just started followed
+// the first router that connected, for some ms, and that router assigned copies and loads
+// from the weight store as if there were no other. When eight engines joined at once,
+// seven routers had the same model read from the store, and none of the loads ended in
+// time.
 func (l *Loader) coordinator() core.HostID {
-	if !l.followedKnown {
-		l.followed, l.followedKnown = l.toFollow(), true
+	if !l.coordinatorSelected {
+		l.selected, l.coordinatorSelected = l.selectCoordinator(), true
 	}
-	return l.followed
+	return l.selected
 }
 
-// toFollow picks the coordinator. Strong ones come first: whoever coordinates hears of all
-// engines at once, which in a large fleet takes more than the whole of a small host.
-func (l *Loader) toFollow() core.HostID {
-	var best, known *router
-	settled := false
+// selectCoordinator selects the coordinator. Routers with a larger processor share come
+// first: the coordinator receives messages of all engines, which in a large fleet takes
+// more than a whole small host.
+func (l *Loader) selectCoordinator() core.HostID {
+	var best, established *router
+	started := false
 	for _, r := range l.connected {
-		age := l.now.Sub(r.upAt)
-		settled = settled || age >= settleTime
+		age := l.now.Sub(r.connectedAt)
+		started = started || age >= startupDelay
 		if best == nil || r.processor > best.processor {
 			best = r
 		}
-		if age >= knownFor && (known == nil || r.processor > known.processor) {
-			known = r
+		if age >= coordinatorMinAge && (established == nil || r.processor > established.processor) {
+			established = r
 		}
 	}
 	switch {
-	case known != nil:
-		return known.name
-	case settled:
+	case established != nil:
+		return established.name
+	case started:
 		return best.name
 	default:
 		return ""
--- a/internal/loader/decide.go
+++ b/internal/loader/decide.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// adaptersComing is how many adapters may be on their way to one engine.
-	adaptersComing = 4
-	// evictTime is what it takes to evict an idle model: an order, its answer
-	// and a report.
-	evictTime = 30 * time.Millisecond
+	// maxAdapterLoads is how many adapters one engine may load at a time.
+	maxAdapterLoads = 4
+	// evictionTime is how long it takes to evict an idle model: an order, its answer and
+	// a report.
+	evictionTime = 30 * time.Millisecond
 )
 
 // modelKey names a model, or an adapter of it.
@@ -25,54 +25,54 @@
 	return model, adapter
 }
 
-// act sends the next order, if one is due. One order is under way at a time:
-// each is decided on a report that is newer than the one before.
-func (l *Loader) act() {
-	if l.ordering || l.now < l.nextOrder || l.spec == nil || l.engine.report == nil ||
-		l.readAt < l.acceptedAt || l.reading && l.readAt == l.acceptedAt || l.engine.report.Draining {
+// sendNextOrder sends the next order, if one is due. One order is in progress at a time,
+// and each is decided on a report that is newer than the previous order.
+func (l *Loader) sendNextOrder() {
+	if l.orderPending || l.now < l.nextOrder || l.spec == nil || l.engine.report == nil ||
+		l.lastReadAt < l.acceptedAt || l.readPending && l.lastReadAt == l.acceptedAt || l.engine.report.Draining {
 		return
 	}
 	if l.task != nil || l.engine.report.Busy {
-		// An engine takes no order at all meanwhile, not for adapters either.
+		// A busy engine accepts no orders, not even for adapters.
 		return
 	}
 	wants, uses := l.wants(), l.uses()
 	l.expireRetiring(wants)
 	if order := l.adapterOrder(wants, uses); order != nil {
-		l.order(*order)
+		l.sendOrder(*order)
 		return
 	}
 	if order := l.modelOrder(wants, uses); order != nil {
-		l.order(*order)
+		l.sendOrder(*order)
 	}
 }
 
-func (l *Loader) order(order fleet.Order) {
+func (l *Loader) sendOrder(order fleet.Order) {
 	order.Sequence = l.engine.report.Sequence
 	order.For = l.engine.life
-	l.ordering = true
+	l.orderPending = true
 	l.emit(SendOrder{Order: order})
 }
 
-// compareWants orders wants: what requests wait for, or a busy model's further
-// copy, before what is loaded ahead; then by turn; then the one whose objective
-// is missed first.
-func (l *Loader) compareWants(a, b wanted) int {
+// compareWants sorts wants: models that requests wait for, and further copies of a busy
+// model, come before background loads; then by tierRank; then the one whose objective is
+// missed first.
+func (l *Loader) compareWants(a, b mergedWant) int {
 	return cmp.Or(
 		compareBool(a.background, b.background),
-		cmp.Compare(l.turn(a), l.turn(b)),
+		cmp.Compare(l.tierRank(a), l.tierRank(b)),
 		cmp.Compare(a.within, b.within),
 		cmp.Compare(a.model, b.model),
 		cmp.Compare(a.adapter, b.adapter),
 	)
 }
 
-// turn ranks wants by where the copy lies. A load from the weight store takes
-// the engine's only place for an order as long as many near ones, so near ones
-// go first, until the store load is permitted: then the store keeps a place for
-// it, which nobody else can use until it begins. Ranked behind near loads that
-// came without a pause, permitted loads did not begin for seconds.
-func (l *Loader) turn(w wanted) int {
+// tierRank ranks wants by where the nearest copy lies. A load from the weight store
+// occupies the engine's only order slot for as long as many loads of near copies, so near
+// copies go first until the store load is permitted. From then on the store reserves
+// capacity for it, which no other engine can use until the load begins. Ranked behind a
+// continuous sequence of near loads, permitted loads did not begin for seconds.
+func (l *Loader) tierRank(w mergedWant) int {
 	switch {
 	case l.tierOf(w.model) != tierStore:
 		return 1
@@ -83,7 +83,7 @@
 	}
 }
 
-// compareBool puts false first.
+// compareBool sorts false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -96,16 +96,16 @@
 }
 
 // adapterOrder returns the next order for an adapter, nil if none is due.
-func (l *Loader) adapterOrder(wants []wanted, uses map[modelKey]used) *fleet.Order {
+func (l *Loader) adapterOrder(wants []mergedWant, uses map[modelKey]mergedUse) *fleet.Order {
 	for _, w := range wants {
 		if w.adapter == "" {
 			continue
 		}
 		base := l.findLoaded(w.model)
-		if base == nil || base.HasAdapter(w.adapter) || l.isComing(w.modelKey) || l.isUnloading(w.model) {
+		if base == nil || base.HasAdapter(w.adapter) || l.isAdapterLoading(w.modelKey) || l.isUnloading(w.model) {
 			continue
 		}
-		if len(l.engine.report.Coming) >= adaptersComing {
+		if len(l.engine.report.Coming) >= maxAdapterLoads {
 			return nil
 		}
 		if l.adapterCount() < l.spec.adapterSlots && l.freeMB() >= l.spec.models[w.model].AdapterMB {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (l *Loader) isComing(key modelKey) bool {
+func (l *Loader) isAdapterLoading(key modelKey) bool {
 	return slices.Contains(l.engine.report.Coming, key.model+"/"+key.adapter)
 }
 
@@ -126,8 +126,8 @@
 	return l.task != nil && l.task.order.Kind == fleet.OrderUnload && l.task.order.Model == model
 }
 
-// adapterVictim returns the least used adapter that nobody uses or wants.
-func (l *Loader) adapterVictim(wants []wanted, uses map[modelKey]used) *modelKey {
+// adapterVictim returns the least used adapter that is neither in use nor wanted.
+func (l *Loader) adapterVictim(wants []mergedWant, uses map[modelKey]mergedUse) *modelKey {
 	var victim *modelKey
 	least := 0.0
 	for _, m := range l.engine.report.Models {
@@ -144,12 +144,12 @@
 	return victim
 }
 
-func isWanted(wants []wanted, key modelKey) bool {
-	return slices.ContainsFunc(wants, func(w wanted) bool { return w.modelKey == key && !w.background })
+func isWanted(wants []mergedWant, key modelKey) bool {
+	return slices.ContainsFunc(wants, func(w mergedWant) bool { return w.modelKey == key && !w.background })
 }
 
 // modelOrder returns the next order for a model, nil if none is due.
-func (l *Loader) modelOrder(wants []wanted, uses map[modelKey]used) *fleet.Order {
+func (l *Loader) modelOrder(wants []mergedWant, uses map[modelKey]mergedUse) *fleet.Order {
 	for _, w := range wants {
 		if w.adapter != "" || l.findLoaded(w.model) != nil {
 			continue
--- a/internal/loader/decide_test.go
+++ b/internal/loader/decide_test.go
@@ -8,11 +8,11 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// A request waits for a model that is as large as one loaded model. Two small
-// ones used to be evicted first because they were called a little less, and
-// then the large one too: their callers waited for loads that were not needed.
+// A request waits for a model as large as one loaded model. Guards against evicting two
+// small models first, because their rates are a little lower, and then the large one too,
+// so that three models have to be loaded again.
 func TestOneLargeVictimInsteadOfThree(t *testing.T) {
-	w := newWorld(t, "m0", "m2", "m1") // 16,000 + 16,000 + 34,000 of 80,000
+	w := newHarness(t, "m0", "m2", "m1") // 16,000 + 16,000 + 34,000 of 80,000
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{{Model: "m3", Waiting: 1, Within: 2 * time.Second}},
 		Uses: []core.Use{
@@ -28,11 +28,11 @@
 	}
 }
 
-// Requests run on the model that is called least. An engine lets them end
-// before it unloads and takes no other order meanwhile, so that the caller who
-// waits for a load would wait for strangers' answers too. An idle model goes.
+// Requests run on the model with the lowest rate. An engine completes them before it
+// unloads the model and accepts no other order meanwhile, so evicting it would delay the
+// load that a request waits for. An idle model must be evicted instead.
 func TestIdleVictimBeforeBusyOne(t *testing.T) {
-	w := newWorld(t, "m1", "m3")
+	w := newHarness(t, "m1", "m3")
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{{Model: "m5", Waiting: 1, Within: 2 * time.Second}},
 		Uses:  []core.Use{{Model: "m1", Rate: 0.05, Running: 3, Copies: 1}, {Model: "m3", Rate: 0.4, Copies: 1}},
@@ -43,10 +43,10 @@
 	}
 }
 
-// While an engine loads a model it refuses orders for adapters too. They used
-// to be sent again every 30 ms for as long as the load took, hundreds in vain.
+// While an engine loads a model it also refuses orders for adapters. Guards against
+// sending these again every 30 ms for as long as the load takes, hundreds in vain.
 func TestNoAdapterOrdersWhileBusy(t *testing.T) {
-	w := newWorld(t, "m0")
+	w := newHarness(t, "m0")
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m1", Waiting: 1, Within: time.Second}}})
 	w.run(100 * time.Millisecond)
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{
@@ -62,28 +62,28 @@
 	}
 }
 
-// The answer to an order is lost, and the engine carries the order out three
-// seconds later, after others. Were it still valid then, the engine would hold
-// more than its memory and crash with every request on it.
+// The answer to an order is lost, and the engine receives the order three seconds later,
+// after others. If the order were still valid then, the engine would load more than its
+// memory holds and crash with all its requests.
 func TestLateOrderDoesNotOvercommit(t *testing.T) {
-	w := newWorld(t, "m1")
+	w := newHarness(t, "m1")
 	w.loseNext = 1
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m3", Waiting: 1, Within: time.Second}}})
 	w.run(100 * time.Millisecond)
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m5", Waiting: 1, Within: time.Second}}})
 	w.run(6 * time.Second)
-	if w.engine.broken != "" {
-		t.Fatal(w.engine.broken)
+	if w.engine.violation != "" {
+		t.Fatal(w.engine.violation)
 	}
 	if !w.has("m5") {
 		t.Errorf("loaded: %+v, want m5 among them", w.engine.report.Models)
 	}
 }
 
-// Adapters are called one after the other, more than the engine has slots for.
-// Each must be loaded in turn, in place of one that nobody uses.
+// Adapters are called one after the other, more than the engine has slots for. Each must
+// be loaded in turn, in place of an unused one.
 func TestAdaptersTakeTurns(t *testing.T) {
-	w := newWorld(t, "m0")
+	w := newHarness(t, "m0")
 	for _, adapter := range []string{"a1", "a2", "a3", "a4", "a5"} {
 		w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m0", Adapter: adapter, Waiting: 1, Within: time.Second}}})
 		w.run(200 * time.Millisecond)
@@ -91,39 +91,39 @@
 			t.Fatalf("%s not loaded: %+v", adapter, w.engine.report.Models)
 		}
 	}
-	if w.engine.broken != "" {
-		t.Fatal(w.engine.broken)
+	if w.engine.violation != "" {
+		t.Fatal(w.engine.violation)
 	}
 }
 
-// A model without a copy near the engine needs a permit, so that the weight
-// store is not read by all engines at once.
+// A model without a near copy must not be loaded without a permit, so that not all
+// engines read the weight store at once.
 func TestStoreLoadWaitsForPermit(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.engine.report.OnDisk = nil
-	w.run(idleRead) // the loader sees it
+	w.run(idleReadInterval) // until the loader has read the report
 	want := []core.Want{{Model: "m1", Waiting: 1, Within: time.Second}}
 	w.demand("10.0.0.1", core.Demand{Wants: want})
 	w.run(time.Second)
 	if len(w.orders) != 0 {
 		t.Fatalf("ordered without a permit: %+v", w.orders)
 	}
-	held := w.told["10.0.0.1"].Models
+	held := w.holdings["10.0.0.1"].Models
 	if len(held) != 1 || held[0].State != core.HoldPermit {
 		t.Fatalf("holdings %+v, want m1 waiting for a permit", held)
 	}
 	w.demand("10.0.0.1", core.Demand{Wants: want, Permits: []string{"m1"}})
 	w.run(8 * time.Second)
-	if !w.has("m1") || w.told["10.0.0.1"].StoreLoad == nil {
-		t.Fatalf("loaded %+v, result %+v", w.engine.report.Models, w.told["10.0.0.1"].StoreLoad)
+	if !w.has("m1") || w.holdings["10.0.0.1"].StoreLoad == nil {
+		t.Fatalf("loaded %+v, result %+v", w.engine.report.Models, w.holdings["10.0.0.1"].StoreLoad)
 	}
 }
 
-// An engine crashes and starts again empty while a load was under way. Its
-// order count is back at zero; the loader must see that and load again what is
-// wanted, instead of waiting for the old order.
-func TestEngineRestartIsNoticed(t *testing.T) {
-	w := newWorld(t, "m1")
+// An engine crashes during a load and restarts empty, with its order count at 0. The
+// loader must detect that and load again what is wanted, instead of waiting for the old
+// order.
+func TestEngineRestartIsDetected(t *testing.T) {
+	w := newHarness(t, "m1")
 	want := core.Demand{Wants: []core.Want{{Model: "m3", Waiting: 1, Within: time.Second}}}
 	w.engine.report.Sequence = 5
 	w.demand("10.0.0.1", want)
@@ -136,12 +136,12 @@
 	}
 }
 
-// Three models are wanted one after the other where only one fits. Each used to
-// be evicted for the next as soon as it was loaded, 50 ms later, while the
-// requests that had waited for it were on their way: they were refused and
-// waited again. A loaded model stays until its callers can have been served.
-func TestLoadedModelStaysForItsCallers(t *testing.T) {
-	w := newWorld(t)
+// Three models are wanted one after the other, and not all fit. Guards against evicting
+// each for the next one 50 ms after its load, while the requests that waited for it are
+// on their way: they were refused and waited again. A loaded model must stay until these
+// requests can have been served.
+func TestLoadedModelIsKeptForMinResidence(t *testing.T) {
+	w := newHarness(t)
 	want := func(models ...string) {
 		var wants []core.Want
 		for _, model := range models {
@@ -165,12 +165,12 @@
 	}
 }
 
-// Many callers use m1, a single one was just served by m3, and m5 is wanted.
-// The engine used to evict m1, since m3 was protected for a moment: it let m1's
-// requests end, for seconds, and m1's callers crowded at other engines. It must
-// wait that moment and evict m3.
-func TestBusyModelIsNotEvictedForAMoment(t *testing.T) {
-	w := newWorld(t, "m1")
+// Many requests use m1, m3 has just served a single one, and m5 is wanted. Guards against
+// evicting m1 because m3 is protected for a moment: the engine then completed m1's
+// requests, for seconds, and further requests for m1 overloaded other engines. The loader
+// must wait until m3 can be evicted.
+func TestRecentlyLoadedIdleModelIsEvictedBeforeBusyOne(t *testing.T) {
+	w := newHarness(t, "m1")
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{{Model: "m3", Waiting: 1, Within: time.Second}},
 		Uses:  []core.Use{{Model: "m1", Rate: 20, Running: 9, Copies: 2}},
@@ -186,11 +186,11 @@
 	}
 }
 
-// A spare copy of a busy model has to make room. Unloaded at once, the engine
-// refused dozens of requests that had not started. Routers must be told first,
-// and the order must wait until their requests have ended.
+// A spare copy of a busy model has to make room. When it was unloaded at once, the engine
+// refused dozens of requests that had not started. Routers must be notified first, and
+// the order must wait until their requests have ended.
 func TestSpareCopyIsRetiredFirst(t *testing.T) {
-	w := newWorld(t, "m1", "m3")
+	w := newHarness(t, "m1", "m3")
 	demand := func(running int) {
 		w.demand("10.0.0.1", core.Demand{
 			Wants: []core.Want{{Model: "m5", Waiting: 1, Within: time.Second}},
@@ -204,9 +204,9 @@
 	if len(w.orders) != 0 {
 		t.Fatalf("ordered with requests running: %+v", w.orders)
 	}
-	for _, m := range w.told["10.0.0.1"].Models {
+	for _, m := range w.holdings["10.0.0.1"].Models {
 		if m.Name == "m3" && m.State != core.HoldUnloading {
-			t.Fatal("routers were not told that the copy takes no more requests")
+			t.Fatal("routers were not notified that the copy takes no more requests")
 		}
 	}
 	demand(0)
@@ -216,11 +216,11 @@
 	}
 }
 
-// Requests for rare models wait one after the other without a pause, and a busy
-// model, with 45 calls a second, has one copy elsewhere. The further copy that
-// routers ask for must get its turn among them.
+// Requests for rare models arrive without a pause, and a busy model, with 45 calls a
+// second, has one copy elsewhere. The further copy that routers ask for must not be
+// delayed forever.
 func TestFurtherCopyIsNotStarved(t *testing.T) {
-	w := newWorld(t, "m1", "m3")
+	w := newHarness(t, "m1", "m3")
 	rare := []string{"m2", "m4", "m6", "m0"}
 	for i := range 8 {
 		w.demand("10.0.0.1", core.Demand{Wants: []core.Want{
@@ -235,13 +235,13 @@
 	t.Fatalf("no further copy after 5.6 s: %+v", w.engine.report.Models)
 }
 
-// Requests for models with near copies come without a pause. A load from the
-// weight store that was permitted used to wait behind them, and the store's place
-// that was kept for it stood empty, for all engines.
-func TestPermittedStoreLoadBegins(t *testing.T) {
-	w := newWorld(t)
+// Requests for models with near copies arrive without a pause. Guards against ranking a
+// permitted load from the weight store behind them: the store's capacity that was
+// reserved for it was left unused, for all engines.
+func TestPermittedStoreLoadGoesFirst(t *testing.T) {
+	w := newHarness(t)
 	w.engine.report.OnDisk = []string{"m0", "m2"}
-	w.run(idleRead)
+	w.run(idleReadInterval)
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{
 			{Model: "m0", Waiting: 1, Within: 500 * time.Millisecond}, {Model: "m2", Waiting: 1, Within: 500 * time.Millisecond},
@@ -255,17 +255,17 @@
 	}
 }
 
-// A load from the weight store takes a multiple of its nominal time, as others
-// share the store. It was predicted to end within a second for as long as it was
-// late, and callers came back again and again to be refused. The later it is, the
-// longer it must be taken to need.
-func TestLateLoadIsNotAlwaysAboutToEnd(t *testing.T) {
-	w := newWorld(t)
+// A load from the weight store takes a multiple of its nominal time because others share
+// the store. Guards against predicting that it ends within a second for as long as it is
+// overdue, so that callers retried again and again and were refused. The longer it is
+// overdue, the longer it must be predicted to take.
+func TestOverdueLoadPredictsMoreTime(t *testing.T) {
+	w := newHarness(t)
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m7", Waiting: 1, Within: time.Second}}})
-	w.engine.until = core.Never // it does not end while the test looks
+	w.engine.until = core.Never // it does not end during the test
 	w.run(5 * time.Second)
-	late := 4 * time.Second // from disk it takes one
-	if got := w.told["10.0.0.1"].FreeIn; got < late-HeartbeatInterval {
-		t.Errorf("predicted to end in %v when it was %v late", got, late)
+	late := 4 * time.Second // of 5 s; a load from disk takes 1 s
+	if got := w.holdings["10.0.0.1"].FreeIn; got < late-HeartbeatInterval {
+		t.Errorf("predicted to end in %v when it was overdue by %v", got, late)
 	}
 }
--- a/internal/loader/dump.go
+++ b/internal/loader/dump.go
@@ -14,14 +14,14 @@
 	Life     fleet.Incarnation
 	Report   *fleet.Report
 	Ordering bool
-	// Task is the order for a model under way, "" without one.
+	// Task is the model order in progress, "" if there is none.
 	Task    string
 	Routers []core.HostID
 	Told    core.Holdings
-	// Limits are the servers with a limit that this loader counts for.
+	// Limits are the servers whose request limits this loader enforces.
 	Limits []limit.State
-	// QuotaShare is the part of all bounds of client accounts that routers lend this loader,
-	// from 0 to 1, and Quotas are the accounts that it grants tokens of.
+	// QuotaShare is the part of all limits of client accounts that routers lend this
+	// loader, from 0 to 1. Quotas are the accounts that it grants tokens of.
 	QuotaShare float64
 	Quotas     []quota.KeptState
 }
@@ -29,8 +29,8 @@
 // Dump returns the state between two steps.
 func (l *Loader) Dump() State {
 	state := State{
-		Life: l.engine.life, Report: l.engine.report, Ordering: l.ordering,
-		Routers: slices.Clone(l.names), Told: l.told.holdings,
+		Life: l.engine.life, Report: l.engine.report, Ordering: l.orderPending,
+		Routers: slices.Clone(l.names), Told: l.announced.holdings,
 		Limits: l.limits.Dump(l.now), QuotaShare: l.quotas.Share(l.now), Quotas: l.quotas.Dump(l.now),
 	}
 	if l.task != nil {
--- a/internal/loader/evict.go
+++ b/internal/loader/evict.go
@@ -7,67 +7,65 @@
 )
 
 const (
-	// backgroundEvicts is the rate of requests per second below which a loaded
-	// model may be evicted for one that nobody waits for yet. A model called
-	// more often would be missed sooner than the other is called.
-	backgroundEvicts = 0.5
-	// runningPerWaiting is how many requests may run on a model that is retired
-	// for one that waits for another.
+	// maxBackgroundEvictRate is the rate of requests per second up to which a loaded
+	// model may be evicted for a background load. A model with a higher rate would be
+	// needed again before the new one is called.
+	maxBackgroundEvictRate = 0.5
+	// runningPerWaiting is how many requests may run on a model that is retired, per
+	// request that waits for the model to be loaded.
 	//
-	// It guards against a busy model that is unloaded for a rare one: the copy
-	// takes no requests for the four seconds of retiring, unloading and loading,
-	// and callers of the other copies wait for it. Copies with 84 and 105 running
-	// were retired for one request, and half of the model's callers were served
-	// late.
+	// It guards against unloading a busy model for a rare one: the copy takes no
+	// requests for the four seconds of retiring, unloading and loading, and requests
+	// queue at its other copies. Copies with 84 and 105 running requests were retired
+	// for one request, and half of the model's callers were served late.
 	runningPerWaiting = 8
-	// blockedTime is added to the predicted time of a load for which no room can
-	// be made: until demand moves on, some seconds at the least.
-	blockedTime = 10 * time.Second
-	// residence is how long a loaded model stays at least: a message to the
-	// routers, their requests' way here, and their next demand, which comes
-	// every 500 ms, with a margin of as much.
-	residence = time.Second
+	// blockedDelay is added to the predicted time of a load for which no room can be
+	// made. The block lasts until demand changes, some seconds at least.
+	blockedDelay = 10 * time.Second
+	// minResidence is the minimum time that a loaded model stays. It covers a message to
+	// the routers, their requests' way to the engine and the routers' next demand, which
+	// comes every 500 ms, with a margin of the same size.
+	minResidence = time.Second
 )
 
-// victim returns the loaded model to evict next for a want, "" if the room
-// can't be made now. It is the first of the cheapest set of models that makes
-// room, so that two are evicted only where no single one is large enough, or
-// where the two together are missed less.
+// victim returns the loaded model to evict next for a want, "" if the room can't be made
+// yet. It is the first of the cheapest set of models that makes room, so two models are
+// evicted only where no single one is large enough, or where both together cost less.
 //
-// Models that requests run on are retired before they go (see retire.go): spare
-// copies where the idle models don't make room, needed ones only where nothing
-// else can make room at all.
-func (l *Loader) victim(w wanted, wants []wanted, uses map[modelKey]used, need float64) string {
-	options := l.roomFor(w, wants, uses, need)
+// Models with running requests are retired first (see retire.go): spare copies where the
+// idle models don't make room, needed copies only where nothing else can.
+func (l *Loader) victim(w mergedWant, wants []mergedWant, uses map[modelKey]mergedUse, need float64) string {
+	options := l.evictionOptionsFor(w, wants, uses, need)
 	if pick := cheapestSet(options.idle, need); pick != "" || w.background {
 		return pick
 	}
-	l.retireOf(options.all, uses, options.short)
+	l.retireCheapest(options.all, uses, options.needMB)
 	return ""
 }
 
-// roomOptions are the models that can make room for a want.
-type roomOptions struct {
-	// idle ones can be evicted at once.
+// evictionOptions are the models that can make room for a want.
+type evictionOptions struct {
+	// idle models can be evicted at once.
 	idle []candidate
-	// all are these and those in use that may be retired, for short MB.
-	all   []candidate
-	short float64
+	// all are the idle models and those in use that may be retired. needMB is the memory
+	// that they have to free.
+	all    []candidate
+	needMB float64
 }
 
-func (l *Loader) roomFor(w wanted, wants []wanted, uses map[modelKey]used, need float64) roomOptions {
+func (l *Loader) evictionOptionsFor(w mergedWant, wants []mergedWant, uses map[modelKey]mergedUse, need float64) evictionOptions {
 	var idle, spare, inUse []candidate
 	protected := 0.0
 	for _, m := range l.engine.report.Models {
 		use := uses[modelKey{model: m.Name}]
 		c := candidate{m.Name, l.sizeOf(m), evictionCost(use)}
 		switch {
-		case l.wantedWith(wants, m.Name) || l.justLoaded(m.Name):
+		case l.hasWaitingRequests(wants, m.Name) || l.isRecentlyLoaded(m.Name):
 			if use.running == 0 {
 				protected += c.mb
 			}
-		case use.running == 0 && w.background && !use.spare && use.rate > backgroundEvicts:
-		case use.running == 0 || l.retiredLong(m.Name):
+		case use.running == 0 && w.background && !use.spare && use.rate > maxBackgroundEvictRate:
+		case use.running == 0 || l.retireTimedOut(m.Name):
 			idle = append(idle, c)
 		case use.spare || l.isRetiring(m.Name):
 			spare = append(spare, c)
@@ -76,35 +74,35 @@
 		}
 	}
 	all := slices.Concat(idle, spare)
-	if room(all)+protected < need {
+	if totalMB(all)+protected < need {
 		all = append(all, inUse...)
 	}
-	return roomOptions{idle: idle, all: all, short: need - protected}
+	return evictionOptions{idle: idle, all: all, needMB: need - protected}
 }
 
-// idleMB is the memory of the models that can be evicted at once.
-func (l *Loader) idleMB(uses map[modelKey]used) float64 {
+// idleMB returns the memory of the models that can be evicted at once.
+func (l *Loader) idleMB(uses map[modelKey]mergedUse) float64 {
 	wants, idle := l.wants(), 0.0
 	for _, m := range l.engine.report.Models {
-		if uses[modelKey{model: m.Name}].running == 0 && !l.justLoaded(m.Name) && !l.wantedWith(wants, m.Name) {
+		if uses[modelKey{model: m.Name}].running == 0 && !l.isRecentlyLoaded(m.Name) && !l.hasWaitingRequests(wants, m.Name) {
 			idle += l.sizeOf(m)
 		}
 	}
 	return idle
 }
 
-// blocked tells that no room can be made for a want: all that would have to go is
-// in much use.
-func (l *Loader) blocked(w wanted, wants []wanted, uses map[modelKey]used) bool {
+// blocked reports whether no room can be made for a want, because the models that would
+// have to be evicted are in heavy use.
+func (l *Loader) blocked(w mergedWant, wants []mergedWant, uses map[modelKey]mergedUse) bool {
 	need := l.spec.models[w.model].MemoryMB - l.freeMB()
 	if need <= 0 || w.background {
 		return false
 	}
-	options := l.roomFor(w, wants, uses, need)
-	return room(options.all) < options.short
+	options := l.evictionOptionsFor(w, wants, uses, need)
+	return totalMB(options.all) < options.needMB
 }
 
-func room(candidates []candidate) float64 {
+func totalMB(candidates []candidate) float64 {
 	sum := 0.0
 	for _, c := range candidates {
 		sum += c.mb
@@ -112,16 +110,16 @@
 	return sum
 }
 
-// justLoaded tells that a model was loaded so recently that those who waited
-// for it may not have been served yet.
+// isRecentlyLoaded reports whether a model was loaded so recently that the requests that
+// waited for it may not have been served yet.
 //
-// It guards against thrashing: the moment a model is loaded nobody waits for it
-// any more, and routers have not yet told that requests run on it. It looked
-// like the least used one and was evicted within 50 ms, for the next in the
-// queue, while its callers' requests were on their way.
-func (l *Loader) justLoaded(model string) bool {
+// It guards against thrashing: as soon as a model is loaded no request waits for it any
+// more, and the routers have not yet reported running requests. It looked like the least
+// used model and was evicted within 50 ms for the next in the queue, while its requests
+// were on their way.
+func (l *Loader) isRecentlyLoaded(model string) bool {
 	at, ok := l.loadedAt[model]
-	return ok && l.now.Sub(at) < residence
+	return ok && l.now.Sub(at) < minResidence
 }
 
 // candidate is a loaded model that may be evicted.
@@ -132,25 +130,25 @@
 }
 
 const (
-	// evictionBase is what any eviction costs, in calls per second missed: it
-	// takes orders, and the model may be called after all.
+	// evictionBase is the base cost of an eviction, in missed requests per second: it
+	// takes orders, and the model may be called again.
 	evictionBase = 0.05
-	// spareCost is the part of a model's rate that is missed when another copy
-	// carries its load.
+	// spareCost is the part of a model's rate that counts as cost when another copy can
+	// carry its load.
 	spareCost = 0.05
-	// copyCost is added for each copy of a model whose copies are needed. It
-	// decides only among models that are called equally little: of these, one
-	// that was given several copies is the likelier to be called.
+	// copyCost is added for each copy of a model whose copies are needed. It is small
+	// enough to matter only between models with equally low rates, of which one with
+	// several copies is more likely to be called.
 	copyCost = 0.02
-	// runningCost is added for a model that is in use: the engine lets its
-	// requests end before it unloads, and takes no other order meanwhile.
+	// runningCost is added for a model in use: the engine completes its requests before
+	// it unloads, and accepts no other order meanwhile.
 	runningCost = 2.0
-	// maxCandidates bounds the search for the cheapest set, to 4,096 sets. Of
-	// more models the cheapest are looked at.
+	// maxCandidates limits the search for the cheapest set to 4,096 sets. Of more models
+	// only the cheapest are considered.
 	maxCandidates = 12
 )
 
-func evictionCost(use used) float64 {
+func evictionCost(use mergedUse) float64 {
 	cost := evictionBase + use.rate
 	if use.spare {
 		cost = evictionBase + spareCost*use.rate
@@ -163,8 +161,8 @@
 	return cost
 }
 
-// cheapestSet returns the cheapest member of the set of least cost whose sizes
-// add up to need, "" if there is none.
+// cheapestSet returns the cheapest member of the set of least cost whose sizes add up to
+// at least need, "" if there is none.
 func cheapestSet(candidates []candidate, need float64) string {
 	if set := cheapest(candidates, need); len(set) > 0 {
 		return set[0].name
@@ -172,7 +170,7 @@
 	return ""
 }
 
-// cheapest returns the set of least cost whose sizes add up to need, cheapest
+// cheapest returns the set of least cost whose sizes add up to at least need, cheapest
 // member first.
 func cheapest(candidates []candidate, need float64) []candidate {
 	slices.SortFunc(candidates, func(a, b candidate) int {
@@ -198,7 +196,7 @@
 	return best
 }
 
-// wantedWith tells whether requests wait for the model or one of its adapters.
-func (l *Loader) wantedWith(wants []wanted, model string) bool {
-	return slices.ContainsFunc(wants, func(w wanted) bool { return w.model == model && !w.background })
+// hasWaitingRequests reports whether requests wait for the model or one of its adapters.
+func (l *Loader) hasWaitingRequests(wants []mergedWant, model string) bool {
+	return slices.ContainsFunc(wants, func(w mergedWant) bool { return w.model == model && !w.background })
 }
--- a/internal/loader/evict_test.go
+++ b/internal/loader/evict_test.go
@@ -7,13 +7,13 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// An engine is full of two models in heavy use, and one request waits for a rare
-// model. The copies used to be retired for it, with 84 and 105 requests running:
-// they took none for four seconds, and half of the callers of the busy models were
-// served late. They must stay, and routers must be told that the rare model won't
-// be ready soon, so that its request goes elsewhere or is refused at once.
+// An engine is full of two models in heavy use, and one request waits for a rare model.
+// Guards against retiring their copies for it with 84 and 105 requests running: they took
+// no requests for four seconds, and half of the callers of the busy models were served
+// late. The copies must stay, and the rare model must be announced with a long delay, so
+// that its request goes elsewhere or is refused at once.
 func TestBusyCopiesAreKeptForOneRareRequest(t *testing.T) {
-	w := newWorld(t, "m1", "m3")
+	w := newHarness(t, "m1", "m3")
 	demand := func(waiting int) {
 		w.demand("10.0.0.1", core.Demand{
 			Wants: []core.Want{{Model: "m5", Waiting: waiting, Within: time.Second}},
@@ -24,8 +24,8 @@
 	}
 	demand(1)
 	w.run(time.Second)
-	for _, m := range w.told["10.0.0.1"].Models {
-		if m.Name == "m5" && m.ReadyIn < blockedTime {
+	for _, m := range w.holdings["10.0.0.1"].Models {
+		if m.Name == "m5" && m.ReadyIn < blockedDelay {
 			t.Errorf("the rare model is predicted ready in %v", m.ReadyIn)
 		}
 		if m.Name != "m5" && m.State != core.HoldLoaded {
@@ -34,7 +34,7 @@
 	}
 	demand(5)
 	w.run(time.Second)
-	for _, m := range w.told["10.0.0.1"].Models {
+	for _, m := range w.holdings["10.0.0.1"].Models {
 		if m.Name == "m3" && m.State != core.HoldUnloading {
 			t.Errorf("m3 with 30 running is not retired for five waiting requests: %v", m.State)
 		}
--- a/internal/loader/world_test.go
+++ b/internal/loader/harness_test.go
@@ -9,43 +9,43 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// world drives a loader in virtual time against an engine that keeps what it
-// was ordered and refuses what breaks its limits.
-type world struct {
-	t      testing.TB
-	loader *Loader
-	now    core.Time
-	wake   core.Time
-	engine *fakeEngine
-	told   map[core.HostID]core.Holdings
-	// words counts what each router was told of the engine.
-	words map[core.HostID]int
-	// passed is what routers were sent of other routers' words.
-	passed map[core.HostID][]core.Message
-	// limits is what routers were told of servers' limits.
+// harness drives a loader in virtual time against an engine that executes its orders and
+// refuses those that its state does not allow.
+type harness struct {
+	t        testing.TB
+	loader   *Loader
+	now      core.Time
+	wake     core.Time
+	engine   *fakeEngine
+	holdings map[core.HostID]core.Holdings
+	// messages counts the messages on the engine that each router received.
+	messages map[core.HostID]int
+	// forwarded are the messages of other routers that each router received.
+	forwarded map[core.HostID][]core.Message
+	// limits are the messages on servers' limits that each router received.
 	limits map[core.HostID][]core.LimitTold
-	// specAsks are the routers that were asked for the engine's configuration.
-	specAsks []core.HostID
-	// orders are all that were sent, in order.
+	// specRequests are the routers that were asked for the engine's configuration.
+	specRequests []core.HostID
+	// orders are all orders sent, in order.
 	orders []fleet.Order
 	// loseNext is how many answers to orders are lost from now on.
 	loseNext int
 }
 
-// fakeEngine is the engine beside the loader.
+// fakeEngine simulates the loader's engine.
 type fakeEngine struct {
 	report   fleet.Report
 	spec     core.EngineSpec
 	instance string
-	// until is when the order under way ends, and done what it does then.
+	// until is when the order in progress ends, and done is called then.
 	until core.Time
 	done  func()
 	// late are orders that arrive later.
 	late []lateOrder
-	// refuses is set while its port refuses connections.
-	refuses bool
-	// broken is set when an order broke a limit of the engine.
-	broken string
+	// refusing is set while its port refuses connections.
+	refusing bool
+	// violation is set when an order exceeded a limit of the engine.
+	violation string
 }
 
 type lateOrder struct {
@@ -68,9 +68,9 @@
 	return spec
 }
 
-func newWorld(t testing.TB, loaded ...string) *world {
-	w := &world{
-		t: t, now: core.Time(time.Hour), loader: New(Options{Host: "10.1.0.1"}), told: map[core.HostID]core.Holdings{}, words: map[core.HostID]int{}, passed: map[core.HostID][]core.Message{}, limits: map[core.HostID][]core.LimitTold{},
+func newHarness(t testing.TB, loaded ...string) *harness {
+	w := &harness{
+		t: t, now: core.Time(time.Hour), loader: New(Options{Host: "10.1.0.1"}), holdings: map[core.HostID]core.Holdings{}, messages: map[core.HostID]int{}, forwarded: map[core.HostID][]core.Message{}, limits: map[core.HostID][]core.LimitTold{},
 		engine: &fakeEngine{spec: testSpec(), instance: "i-1"},
 	}
 	for i := range 8 {
@@ -85,14 +85,14 @@
 }
 
 // demand sends a router's demand, with the engine's configuration.
-func (w *world) demand(router core.HostID, d core.Demand) {
+func (w *harness) demand(router core.HostID, d core.Demand) {
 	w.t.Helper()
 	spec := testSpec()
 	d.Engine, d.Instance = &spec, "i-1"
 	w.step(DemandReceived{Router: router, Demand: d})
 }
 
-func (w *world) step(event Event) {
+func (w *harness) step(event Event) {
 	w.t.Helper()
 	effects := append([]Effect(nil), w.loader.Step(w.now, event)...)
 	for _, effect := range effects {
@@ -101,31 +101,31 @@
 			w.wake = e.At
 		case SendHoldings:
 			for _, router := range e.Routers {
-				w.words[router]++
+				w.messages[router]++
 				holdings := e.Holdings
-				if before := w.told[router]; holdings.NearAsBefore {
+				if before := w.holdings[router]; holdings.NearAsBefore {
 					holdings.InMemory, holdings.OnDisk = before.InMemory, before.OnDisk
 				}
-				w.told[router] = holdings
+				w.holdings[router] = holdings
 			}
 		case SendCounts:
 			for _, router := range e.Routers {
-				w.words[router]++
+				w.messages[router]++
 			}
 		case RequestSpec:
-			w.specAsks = append(w.specAsks, e.Router)
+			w.specRequests = append(w.specRequests, e.Router)
 		case SendLimit:
 			for _, name := range e.Routers {
 				w.limits[name] = append(w.limits[name], e.Limit)
 			}
 		case Forward:
 			for _, router := range e.Routers {
-				w.passed[router] = append(w.passed[router], e.Message)
+				w.forwarded[router] = append(w.forwarded[router], e.Message)
 			}
 		case ReadReport:
 			report := w.engine.report
 			report.Models = append([]fleet.LoadedModel(nil), report.Models...)
-			if w.engine.refuses {
+			if w.engine.refusing {
 				w.step(ReportRead{Err: errRefused})
 				continue
 			}
@@ -138,13 +138,13 @@
 				w.step(OrderDone{Order: e.Order, Result: fleet.OrderUnknown})
 				continue
 			}
-			w.step(OrderDone{Order: e.Order, Result: w.engine.take(w.now, e.Order)})
+			w.step(OrderDone{Order: e.Order, Result: w.engine.handleOrder(w.now, e.Order)})
 		}
 	}
 }
 
-// run lets time pass, with the wakes that the loader asks for.
-func (w *world) run(d time.Duration) {
+// run advances the time, with a Tick at each time that the loader requests.
+func (w *harness) run(d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now < end; {
 		w.now = min(end, max(w.wake, w.now.Add(time.Millisecond)))
@@ -161,7 +161,7 @@
 	var later []lateOrder
 	for _, l := range e.late {
 		if now >= l.at {
-			e.take(now, l.order)
+			e.handleOrder(now, l.order)
 		} else {
 			later = append(later, l)
 		}
@@ -169,8 +169,8 @@
 	e.late = later
 }
 
-// take is the engine's side of an order.
-func (e *fakeEngine) take(now core.Time, order fleet.Order) fleet.OrderResult {
+// handleOrder is the engine's handling of an order.
+func (e *fakeEngine) handleOrder(now core.Time, order fleet.Order) fleet.OrderResult {
 	if order.For.Instance != "" && order.For.Instance != e.instance {
 		return fleet.OrderWrongInstance
 	}
@@ -191,7 +191,7 @@
 	e.until = now.Add(time.Second)
 	e.done = func() { e.report.Models = append(e.report.Models, fleet.LoadedModel{Name: order.Model}) }
 	if used := e.used() + e.size(order.Model); used > e.spec.MemoryMB {
-		e.broken = fmt.Sprintf("load of %s: %.0f MB of %.0f", order.Model, used, e.spec.MemoryMB)
+		e.violation = fmt.Sprintf("load of %s: %.0f MB of %.0f", order.Model, used, e.spec.MemoryMB)
 	}
 	return fleet.OrderAccepted
 }
@@ -219,7 +219,7 @@
 		}
 	}
 	if count > e.spec.AdapterSlots {
-		e.broken = fmt.Sprintf("%d adapters in %d slots", count, e.spec.AdapterSlots)
+		e.violation = fmt.Sprintf("%d adapters in %d slots", count, e.spec.AdapterSlots)
 	}
 }
 
@@ -250,7 +250,7 @@
 	return used
 }
 
-func (w *world) has(model string) bool {
+func (w *harness) has(model string) bool {
 	for _, m := range w.engine.report.Models {
 		if m.Name == model {
 			return true
--- a/internal/loader/large_bench_test.go
+++ b/internal/loader/large_bench_test.go
@@ -8,8 +8,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// The larger deployments: each loader hears of each of its routers each three
-// seconds or so, and has a third of a core that an engine's callers also need.
+// The larger deployments: each router sends a loader its demand about every three
+// seconds, and the loader has a third of a core that the engine's callers need as well.
 const (
 	demandsPerSecond  = 0.3
 	largeUses         = 6
@@ -18,8 +18,8 @@
 
 func largeRouter(i int) core.HostID { return core.HostID(fmt.Sprintf("10.0.%d.%d", i/100, i%100+1)) }
 
-// BenchmarkLargeSecond is one second of a loader beside so many routers: what
-// they want and use, its reports and its words to them, without sockets.
+// BenchmarkLargeSecond runs one second of a loader with this many routers: their demands,
+// the engine's reports and the messages to the routers, without sockets.
 func BenchmarkLargeSecond(b *testing.B) {
 	for _, routers := range []int{9, 68, 260, 385, 770} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) { benchSecond(b, routers) })
@@ -27,7 +27,7 @@
 }
 
 func benchSecond(b *testing.B, routers int) {
-	w := newWorld(b, "m0", "m1")
+	w := newHarness(b, "m0", "m1")
 	for i := range routers {
 		w.step(RouterUp{Router: largeRouter(i)})
 		w.demand(largeRouter(i), core.Demand{})
--- a/internal/loader/limits.go
+++ b/internal/loader/limits.go
@@ -6,26 +6,26 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file answers routers for the servers with a limit that this loader counts for: its
-// engine, and servers of plain services. See package limit.
+// This file enforces the request limits of backend servers that are assigned to this
+// loader: its engine and servers of plain services. See package limit.
 
-func (l *Loader) limitAsked(e LimitRequested) {
+func (l *Loader) handleLimitRequest(e LimitRequested) {
 	l.limits.Forget(l.now)
-	answer, news := l.limits.Ask(l.now, e.Ask)
+	answer, broadcast := l.limits.Ask(l.now, e.Ask)
 	if answer != nil {
 		l.emit(SendLimit{Routers: []core.HostID{e.Router}, Limit: *answer})
 	}
-	if news == nil {
+	if broadcast == nil {
 		return
 	}
-	l.log("limit of a backend server", slog.String("instance", news.Server.Instance), slog.Int64("born", news.Server.Born),
-		slog.Bool("named", news.Word.Named), slog.Float64("per_second", news.Word.PerSecond), slog.String("told_by", string(e.Router)))
-	l.emit(SendLimit{Routers: l.names, Limit: *news})
+	l.log("backend server limit changed", slog.String("instance", broadcast.Server.Instance), slog.Int64("born", broadcast.Server.Born),
+		slog.Bool("named", broadcast.Word.Named), slog.Float64("per_second", broadcast.Word.PerSecond), slog.String("told_by", string(e.Router)))
+	l.emit(SendLimit{Routers: l.names, Limit: *broadcast})
 }
 
-// tellLimits tells a router that has just connected of the limits that hold.
-func (l *Loader) tellLimits(router core.HostID) {
-	for _, told := range l.limits.All(l.now) {
-		l.emit(SendLimit{Routers: []core.HostID{router}, Limit: told})
+// sendLimits sends the limits in force to a router that has just connected.
+func (l *Loader) sendLimits(router core.HostID) {
+	for _, active := range l.limits.All(l.now) {
+		l.emit(SendLimit{Routers: []core.HostID{router}, Limit: active})
 	}
 }
--- a/internal/loader/limits_test.go
+++ b/internal/loader/limits_test.go
@@ -6,29 +6,29 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// One router hears that a server has a limit. The others must know at once, also one that
-// connects later: they would send there what the limit has no room for. The answer to a
-// question goes to the router alone that asked.
-func TestAllRoutersAreToldOfALimit(t *testing.T) {
-	w := newWorld(t)
+// One router learns that a server has a limit. All others must receive it at once, and so
+// must one that connects later: they would exceed the limit. The answer to a request for
+// a permit must go only to the router that asked.
+func TestLimitIsSentToAllRouters(t *testing.T) {
+	w := newHarness(t)
 	for _, name := range []core.HostID{"r1", "r2"} {
 		w.step(RouterUp{Router: name})
 	}
-	word := core.LimitWord{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
+	announcement := core.LimitWord{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
 	server := core.ServerLife{Instance: "s"}
-	w.step(LimitRequested{Router: "r1", Ask: core.LimitAsk{Server: server, Word: word}})
+	w.step(LimitRequested{Router: "r1", Ask: core.LimitAsk{Server: server, Word: announcement}})
 	w.step(RouterUp{Router: "r3"})
 	for _, name := range []core.HostID{"r1", "r2", "r3"} {
-		told := w.limits[name]
-		if len(told) != 1 || told[0].Server != server || !told[0].Word.Named || told[0].Word.PerSecond != 3 {
-			t.Errorf("%s was told %+v, want the limit once", name, told)
+		sent := w.limits[name]
+		if len(sent) != 1 || sent[0].Server != server || !sent[0].Word.Named || sent[0].Word.PerSecond != 3 {
+			t.Errorf("%s was sent %+v, want the limit once", name, sent)
 		}
 	}
-	w.step(LimitRequested{Router: "r2", Ask: core.LimitAsk{Server: server, Word: word, Ask: 7}})
+	w.step(LimitRequested{Router: "r2", Ask: core.LimitAsk{Server: server, Word: announcement, Ask: 7}})
 	if n := len(w.limits["r1"]) + len(w.limits["r3"]); n != 2 {
-		t.Errorf("the others were told %d times of a question", n-2)
+		t.Errorf("the others were sent %d answers to another router's request", n-2)
 	}
-	if told := w.limits["r2"]; len(told) != 2 || told[1].Ask != 7 {
-		t.Errorf("the asker was told %+v", told)
+	if sent := w.limits["r2"]; len(sent) != 2 || sent[1].Ask != 7 {
+		t.Errorf("the requesting router was sent %+v", sent)
 	}
 }
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -13,38 +13,40 @@
 )
 
 const (
-	// HeartbeatInterval is the longest time between two Holdings to a router.
+	// HeartbeatInterval is the time between two heartbeats to a router.
 	HeartbeatInterval = time.Second
-	// leastCountsInterval is the least time between two words on counts: about the
-	// time in which a long prompt is read. At 250 ms an engine that was free when it
-	// was heard of had two of them before the next word.
-	leastCountsInterval = 100 * time.Millisecond
-	// digestedCountsInterval is that time in a large fleet, where few routers hear of
-	// counts by the loader itself, but one of them hears of all engines.
+	// minCountsInterval is the minimum time between two messages with counts, about the
+	// time that an engine takes to read a long prompt. At 250 ms, an engine that was
+	// announced as idle received two long prompts before the next message.
+	minCountsInterval = 100 * time.Millisecond
+	// digestedCountsInterval is the same minimum in a large fleet, where few routers
+	// receive counts directly but the coordinator receives those of all engines.
 	digestedCountsInterval = 250 * time.Millisecond
-	// wordPause is the time that a loader leaves for each connected router between
-	// two words to all of them, which bounds it to 125 messages a second. Each
-	// message costs both processes some 20 us and its bytes: without a bound,
-	// 78 loaders sent 53,000 a second to 68 routers, which together had 460
-	// requests a second to decide on.
-	wordPause = 8 * time.Millisecond
-	// busyRead and idleRead are the pauses between two reports of an engine
-	// with and without requests. A report from its own host costs nothing but
-	// the two processes' time, about 0.3 ms.
-	busyRead = 100 * time.Millisecond
-	idleRead = 500 * time.Millisecond
-	// endRead is the pause between reports while the end of an order is due.
-	endRead = 25 * time.Millisecond
-	// lateRead is that pause once the order is late by more than lateAfter.
-	lateRead  = 100 * time.Millisecond
-	lateAfter = 300 * time.Millisecond
-	// retryOrder is the pause after an order that was not accepted.
-	retryOrder = 30 * time.Millisecond
-	// failedReads in a row, the engine counts as down.
-	failedReads = 2
+	// intervalPerRouter is multiplied by the number of connected routers to get the
+	// minimum time between two messages to all of them. It limits a loader to 125
+	// messages a second. Each message costs both processes some 20 us and its bytes:
+	// without a limit, 78 loaders sent 53,000 a second to 68 routers, which together had
+	// 460 requests a second to route.
+	intervalPerRouter = 8 * time.Millisecond
+	// busyReadInterval and idleReadInterval are the pauses between two reports of an
+	// engine with and without requests. Reading a report on the same host costs only the
+	// two processes' time, about 0.3 ms.
+	busyReadInterval = 100 * time.Millisecond
+	idleReadInterval = 500 * time.Millisecond
+	// finishReadInterval is the pause between reports while an order is due to end.
+	finishReadInterval = 25 * time.Millisecond
+	// overdueReadInterval is that pause once the order is overdue by more than
+	// overdueAfter.
+	overdueReadInterval = 100 * time.Millisecond
+	overdueAfter        = 300 * time.Millisecond
+	// orderRetryDelay is the pause after an order that was not accepted.
+	orderRetryDelay = 30 * time.Millisecond
+	// maxFailedReads is the number of failed reads in a row after which the engine
+	// counts as down.
+	maxFailedReads = 2
 )
 
-// Options are fixed for the life of a loader.
+// Options configure a loader for its lifetime.
 type Options struct {
 	Host core.HostID
 	// IdleAfter is how long after its last request a loaded model counts as idle.
@@ -59,82 +61,89 @@
 
 	engine  engine
 	routers map[core.HostID]*router
-	// names are those of the connected routers, sorted, and connected are they in the same
-	// order. Kept, since each step goes through them: sorted anew for each want, they
-	// took two thirds of a loader's time beside 27 routers.
+	// names are the connected routers' names, sorted, and connected are the routers in
+	// the same order. Both are maintained because each step iterates over them: sorting
+	// them for each want took two thirds of a loader's time with 27 routers.
 	names     []core.HostID
 	connected []*router
-	// followed is the coordinator as worked out in this step, once followedKnown is set.
-	followed      core.HostID
-	followedKnown bool
-	spec          *spec
-	// nextSpec is the earliest next question for a newer one, specAsks counts them.
-	nextSpec core.Time
-	specAsks int
-	// specNamed is set while a router may have named a newer one.
-	specNamed bool
+	// selected is the coordinator as selected in this step, once coordinatorSelected is
+	// set.
+	selected            core.HostID
+	coordinatorSelected bool
+	spec                *spec
+	// nextSpecRequest is the earliest time of the next request for a newer engine
+	// configuration. specRequests counts these requests.
+	nextSpecRequest core.Time
+	specRequests    int
+	// newerSpecOffered is set while a router may have announced a newer engine
+	// configuration.
+	newerSpecOffered bool
 
-	reading  bool
-	readAt   core.Time
-	nextRead core.Time
-	ordering bool
+	readPending  bool
+	lastReadAt   core.Time
+	nextRead     core.Time
+	orderPending bool
 	// acceptedAt is when the engine last accepted an order.
 	acceptedAt core.Time
-	// nextOrder is the earliest next order, after one that was not accepted.
+	// nextOrder is the earliest time of the next order after one that was not accepted.
 	nextOrder core.Time
-	// task is the order for a model that the engine carries out.
+	// task is the model order that the engine is executing.
 	task *task
-	// stray is an order to an earlier life of the engine that may still arrive.
-	stray *strayOrder
+	// unanswered is the last load order without an answer. It may still arrive, also in a
+	// later life of the engine.
+	unanswered *unansweredOrder
 
-	// loadedAt is when models were loaded in this process's life.
+	// loadedAt is when models were loaded while this process ran.
 	loadedAt map[string]core.Time
-	// retiring models take no more requests, since the time.
+	// retiring is when models were retired, that is, stopped taking requests.
 	retiring   map[string]core.Time
 	storeLoads int
 	lastStore  *core.StoreLoadResult
-	// ledger is what routers told of poison requests, for those that start later.
+	// ledger holds the server ends under poison requests that routers reported. Routers
+	// that connect later receive them.
 	ledger *poison.Ledger
-	// quotas grants what routers use of client accounts.
+	// quotas grants routers tokens of client accounts.
 	quotas *quota.Keeper
-	// limits counts what routers send to servers that name a limit.
+	// limits enforces the limits of servers that announce one.
 	limits  *limit.Keeper
-	configs configs
+	configs configRelay
 	usage   usage
-	merged  merged
-	// digested is set in a large fleet; see tellRouters.
+	merged  mergeCache
+	// digested is set in a large fleet; see sendUpdates.
 	digested bool
-	// useSums are the uses of all routers, by what is used.
-	useSums map[modelKey]*useSum
-	told    told
+	// useSums are the uses of all routers by model and adapter.
+	useSums   map[modelKey]*useSum
+	announced announced
 }
 
-// engine is what is known of the engine.
+// engine is the loader's view of the engine.
 type engine struct {
-	// life is the engine's present life; its instance is "" until a router or the
-	// engine itself has told it.
+	// life is the engine's current life. Its instance is "" until a router or the engine
+	// itself has reported it.
 	life fleet.Incarnation
-	// report is nil before the first.
-	report *fleet.Report
-	failed int
-	// answered is set once this life has answered, leaving is its last word that it
-	// leaves, and ended that its port has refused connections since.
+	// report is the last report, nil before the first.
+	report      *fleet.Report
+	failedReads int
+	// answered is set once the current life has answered. draining is set if its last
+	// report said that it drains. ended is set once its port has refused connections
+	// since.
 	//
-	// They guard against an end that is none: an engine that has only registered does not
-	// listen yet, and one that follows another is not what was refused before it.
-	answered, leaving, ended bool
+	// They guard against reporting an end by mistake: an engine that has only registered
+	// does not listen yet, and an engine that replaces another did not refuse the
+	// earlier connections.
+	answered, draining, ended bool
 }
 
-// New returns a loader that knows nothing yet.
+// New returns a loader without any state of the engine or routers.
 func New(opts Options) *Loader {
-	return &Loader{opts: opts, routers: map[core.HostID]*router{}, loadedAt: map[string]core.Time{}, retiring: map[string]core.Time{}, ledger: poison.New(), quotas: quota.NewKeeper(), limits: limit.NewKeeper(), configs: configs{waiting: map[core.HostID]int64{}}, useSums: map[modelKey]*useSum{}}
+	return &Loader{opts: opts, routers: map[core.HostID]*router{}, loadedAt: map[string]core.Time{}, retiring: map[string]core.Time{}, ledger: poison.New(), quotas: quota.NewKeeper(), limits: limit.NewKeeper(), configs: configRelay{waiting: map[core.HostID]int64{}}, useSums: map[modelKey]*useSum{}}
 }
 
 // Step handles an event. The effects are valid until the next step.
 func (l *Loader) Step(now core.Time, event Event) []Effect {
 	l.now, l.out = now, l.out[:0]
-	l.merged.forget()
-	l.followedKnown = false
+	l.merged.invalidate()
+	l.coordinatorSelected = false
 	switch e := event.(type) {
 	case Tick:
 	case ReportRead:
@@ -143,47 +152,47 @@
 		l.orderDone(e)
 	case RouterUp:
 		l.addRouter(e.Router)
-		l.tellPoison(e.Router)
-		l.tellLimits(e.Router)
+		l.sendPoisonEnds(e.Router)
+		l.sendLimits(e.Router)
 	case RouterDown:
 		l.dropRouter(e.Router)
 		delete(l.configs.waiting, e.Router)
-		l.log("router lost", slog.String("router", string(e.Router)))
+		l.log("router disconnected", slog.String("router", string(e.Router)))
 	case RegistryNewsReceived:
-		l.heardOfConfig(e.Router, e.News.Config)
-		l.passOn(e.Router, e.News)
+		l.noteConfigVersion(e.Router, e.News.Config)
+		l.forwardToOthers(e.Router, e.News)
 		return l.out
 	case ConfigRequested:
-		l.configWanted(e.Router, e.Above)
+		l.handleConfigRequest(e.Router, e.Above)
 		return l.out
 	case ConfigReceived:
-		l.configPassed(e.Router, e.Config)
+		l.handleConfig(e.Router, e.Config)
 		return l.out
 	case DigestReceived:
-		l.passToPart(e.Router, e.Digest.Part, e.Digest.Parts, e.Digest)
+		l.forwardToPart(e.Router, e.Digest.Part, e.Digest.Parts, e.Digest)
 		return l.out
 	case ConfigSpreadReceived:
-		l.configPassed(e.Router, e.Spread.Config)
-		l.passToPart(e.Router, e.Spread.Part, e.Spread.Parts, e.Spread.Config)
+		l.handleConfig(e.Router, e.Spread.Config)
+		l.forwardToPart(e.Router, e.Spread.Part, e.Spread.Parts, e.Spread.Config)
 		return l.out
 	case PoisonNewsReceived:
 		l.ledger.Hear(now, e.News)
-		l.passOn(e.Router, e.News)
+		l.forwardToOthers(e.Router, e.News)
 		return l.out
 	case QuotaRequested:
 		l.emit(SendQuota{Router: e.Router, Answer: *l.quotas.Ask(now, e.Router, e.Ask)})
 		return l.out
 	case LimitRequested:
-		l.limitAsked(e)
+		l.handleLimitRequest(e)
 		return l.out
 	case DemandReceived:
-		if before := l.routerSaid(e); !l.actsOn(before, e.Demand) {
+		if before := l.handleDemand(e); !l.needsAction(before, e.Demand) {
 			return l.out
 		}
 	}
-	l.askSpec()
-	l.act()
-	l.tellRouters()
+	l.requestSpec()
+	l.sendNextOrder()
+	l.sendUpdates()
 	l.scheduleRead()
 	l.emit(Wake{At: l.nextWake()})
 	return l.out
@@ -195,8 +204,8 @@
 	l.emit(Log{Message: message, Attrs: attrs})
 }
 
-// routerSaid takes a router's demand and returns the one before.
-func (l *Loader) routerSaid(e DemandReceived) core.Demand {
+// handleDemand stores a router's demand and returns the previous one.
+func (l *Loader) handleDemand(e DemandReceived) core.Demand {
 	r := l.routers[e.Router]
 	if r == nil {
 		return core.Demand{}
@@ -205,32 +214,33 @@
 		r.processor = e.Demand.Processor
 	}
 	if e.Demand.Spec.Hash != 0 {
-		r.spec, l.specNamed = e.Demand.Spec, true
+		r.spec, l.newerSpecOffered = e.Demand.Spec, true
 	}
 	if e.Demand.Engine != nil {
 		l.setSpec(e.Demand.Engine)
 	}
-	l.askSpec()
+	l.requestSpec()
 	before := r.demand
 	if e.Demand.Instance != before.Instance || e.Demand.Born != before.Born {
-		l.learnInstance(fleet.Incarnation{Instance: e.Demand.Instance, Born: e.Demand.Born})
+		l.updateInstance(fleet.Incarnation{Instance: e.Demand.Instance, Born: e.Demand.Born})
 	}
-	l.removeUses(before.Uses, r.heardAt)
+	l.removeUses(before.Uses, r.demandAt)
 	l.addUses(e.Demand.Uses)
-	r.demand, r.heardAt = e.Demand, l.now
+	r.demand, r.demandAt = e.Demand, l.now
 	return before
 }
 
-// passOn sends a router's news to all others.
-func (l *Loader) passOn(from core.HostID, news core.Message) {
+// forwardToOthers sends a router's message to all other routers.
+func (l *Loader) forwardToOthers(from core.HostID, message core.Message) {
 	others := slices.DeleteFunc(slices.Clone(l.names), func(name core.HostID) bool { return name == from })
 	if len(others) > 0 {
-		l.emit(Forward{Routers: others, Message: news})
+		l.emit(Forward{Routers: others, Message: message})
 	}
 }
 
-// passToPart sends a router's news to one of so many parts of the others.
-func (l *Loader) passToPart(from core.HostID, part, parts int, news core.Message) {
+// forwardToPart sends a router's message to one part of the other routers, which are
+// divided into parts.
+func (l *Loader) forwardToPart(from core.HostID, part, parts int, message core.Message) {
 	if parts <= 0 {
 		return
 	}
@@ -241,47 +251,48 @@
 		}
 	}
 	if len(to) > 0 {
-		l.emit(Forward{Routers: to, Message: news})
+		l.emit(Forward{Routers: to, Message: message})
 	}
 }
 
-// tellPoison tells a router that has just connected what others have told of poison
-// requests. It may have started a moment ago, and would let them end three servers
-// more before it knew them.
-func (l *Loader) tellPoison(router core.HostID) {
+// sendPoisonEnds sends a router that has just connected the server ends under poison
+// requests that others reported. A router that has just started would otherwise let such
+// a request end three more servers before it knew the request.
+func (l *Loader) sendPoisonEnds(router core.HostID) {
 	l.ledger.Forget(l.now)
 	if ends := l.ledger.All(l.now); len(ends) > 0 {
 		l.emit(Forward{Routers: []core.HostID{router}, Message: core.PoisonNews{Ends: ends}})
 	}
 }
 
-// learnInstance takes a router's word on what the engine's life is called.
+// updateInstance sets the engine's instance to the one that a router reports.
 //
-// It guards against an old word: a router that starts reads the registry's entry of
-// a life that is over. Taken for the present one, the next order was refused, and
-// the callers who waited for it lost the time of an order and a report.
-func (l *Loader) learnInstance(life fleet.Incarnation) {
+// It guards against outdated reports: a router that starts reads the registry entry of an
+// earlier life. Taken for the current one, the next order was refused, and the requests
+// that waited for it lost the time of an order and a report.
+func (l *Loader) updateInstance(life fleet.Incarnation) {
 	if life.Instance == "" || life.Compare(l.engine.life) < 0 {
 		return
 	}
 	if l.engine.ended && l.engine.life.Instance != life.Instance {
-		l.engine.answered, l.engine.leaving, l.engine.ended = false, false, false
+		l.engine.answered, l.engine.draining, l.engine.ended = false, false, false
 	}
 	l.engine.life.Instance = life.Instance
 }
 
-// actsOn tells whether a demand may change what is ordered or told now. Most only
-// tell uses, which the next report's step reads: to look at all routers' demands
-// for each of them took a loader beside 100 routers 17 ms a second.
-func (l *Loader) actsOn(before, demand core.Demand) bool {
-	asks := func(d core.Demand) bool { return len(d.Wants)+len(d.Permits) > 0 }
-	return asks(before) || asks(demand) || demand.Engine != nil || demand.Instance != before.Instance ||
+// needsAction reports whether a demand may change the orders or the messages to routers
+// at once. Most demands only update uses, which the step of the next report reads:
+// examining all routers' demands for each of them took a loader with 100 routers 17 ms a
+// second.
+func (l *Loader) needsAction(before, demand core.Demand) bool {
+	hasRequests := func(d core.Demand) bool { return len(d.Wants)+len(d.Permits) > 0 }
+	return hasRequests(before) || hasRequests(demand) || demand.Engine != nil || demand.Instance != before.Instance ||
 		demand.Born != before.Born || len(l.retiring) > 0
 }
 
 func (l *Loader) nextWake() core.Time {
-	wake := l.now.Add(leastCountsInterval)
-	if !l.reading {
+	wake := l.now.Add(minCountsInterval)
+	if !l.readPending {
 		wake = min(wake, l.nextRead)
 	}
 	if l.nextOrder > l.now {
--- a/internal/loader/merge.go
+++ b/internal/loader/merge.go
@@ -7,12 +7,11 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file merges what all routers want and use. A step that needs neither pays
-// for neither, and one that needs both works each out once: beside 68 routers it
-// is most of a loader's time.
+// This file merges the wants and uses of all routers. Each is computed at most once a
+// step and only if needed: with 68 routers it is most of a loader's time.
 
-// wanted is what all routers together want of a model or adapter.
-type wanted struct {
+// mergedWant is the combined demand of all routers for a model or adapter to be loaded.
+type mergedWant struct {
 	modelKey
 	waiting    int
 	background bool
@@ -23,33 +22,33 @@
 	within time.Duration
 }
 
-// used is how much all routers together use a loaded model or adapter.
-type used struct {
+// mergedUse is the combined use of a loaded model or adapter by all routers.
+type mergedUse struct {
 	running int
-	// rate is the arrivals per second, the larger of slow and fast: it follows a
-	// rise at once, and keeps a model that was called some seconds ago apart from
-	// an idle one. The sums are compared and not summed maxima, which grow with
-	// the number of routers: each has so few arrivals that its own larger one is
-	// chance.
+	// rate is the arrivals per second, the larger of slow and fast: it follows a rise at
+	// once, and distinguishes a model that was called some seconds ago from an idle one.
+	// The maximum is taken of the two sums. A sum of the routers' maxima would grow with
+	// the number of routers, since each router has so few arrivals that its larger rate
+	// is chance.
 	rate, slow, fast float64
 	copies           int
 	spare            bool
 }
 
-// merged is what a step has worked out so far.
-type merged struct {
-	wantList  []wanted
-	useList   map[modelKey]used
+// mergeCache holds the merged wants and uses of the current step.
+type mergeCache struct {
+	wantList  []mergedWant
+	useList   map[modelKey]mergedUse
 	haveWants bool
 	haveUses  bool
 }
 
-// forget drops what was worked out, as the demands or the time have changed.
-func (m *merged) forget() { m.haveWants, m.haveUses = false, false }
+// invalidate discards the cached results, as the demands or the time have changed.
+func (m *mergeCache) invalidate() { m.haveWants, m.haveUses = false, false }
 
-// wants merges what routers want, most urgent first. The caller must not change
-// the slice.
-func (l *Loader) wants() []wanted {
+// wants merges the routers' wants, most urgent first. The caller must not modify the
+// slice.
+func (l *Loader) wants() []mergedWant {
 	m := &l.merged
 	if !m.haveWants {
 		m.haveWants = true
@@ -58,11 +57,11 @@
 	return m.wantList
 }
 
-func (l *Loader) mergeWants(wants []wanted) []wanted {
+func (l *Loader) mergeWants(wants []mergedWant) []mergedWant {
 	at := map[modelKey]int{}
 	for _, r := range l.connected {
 		for _, w := range r.demand.Wants {
-			wants = l.mergeWant(wants, at, w, l.now.Sub(r.heardAt))
+			wants = l.mergeWant(wants, at, w, l.now.Sub(r.demandAt))
 		}
 	}
 	if len(wants) == 0 {
@@ -79,7 +78,7 @@
 	return wants
 }
 
-func (l *Loader) mergeWant(wants []wanted, at map[modelKey]int, w core.Want, age time.Duration) []wanted {
+func (l *Loader) mergeWant(wants []mergedWant, at map[modelKey]int, w core.Want, age time.Duration) []mergedWant {
 	if _, known := l.spec.models[w.Model]; !known {
 		return wants
 	}
@@ -88,7 +87,7 @@
 	if !seen {
 		i = len(wants)
 		at[key] = i
-		wants = append(wants, wanted{modelKey: key, background: true, within: time.Hour})
+		wants = append(wants, mergedWant{modelKey: key, background: true, within: time.Hour})
 	}
 	m := &wants[i]
 	m.waiting += w.Waiting
@@ -98,28 +97,28 @@
 	return wants
 }
 
-// uses merges how much routers use what is loaded. The caller must not change the
-// map.
-func (l *Loader) uses() map[modelKey]used {
+// uses merges the routers' uses of the loaded models and adapters. The caller must not
+// modify the map.
+func (l *Loader) uses() map[modelKey]mergedUse {
 	m := &l.merged
 	if m.haveUses {
 		return m.useList
 	}
 	m.haveUses = true
 	if m.useList == nil {
-		m.useList = map[modelKey]used{}
+		m.useList = map[modelKey]mergedUse{}
 	}
 	clear(m.useList)
 	for key, sum := range l.useSums {
 		sum.decay(l.now)
-		m.useList[key] = used{running: sum.running, slow: sum.slow, fast: sum.fast, rate: max(sum.slow, sum.fast)}
+		m.useList[key] = mergedUse{running: sum.running, slow: sum.slow, fast: sum.fast, rate: max(sum.slow, sum.fast)}
 	}
 	l.addCopies(m.useList)
 	return m.useList
 }
 
-// addCopies adds what the coordinating router tells of copies.
-func (l *Loader) addCopies(uses map[modelKey]used) {
+// addCopies adds the numbers of copies that the coordinator reports.
+func (l *Loader) addCopies(uses map[modelKey]mergedUse) {
 	r := l.routers[l.coordinator()]
 	if r == nil {
 		return
@@ -132,26 +131,26 @@
 	}
 }
 
-// useSum adds up how much routers use a model or adapter. All their rates decay alike, so
-// that the sum does: a router's part can be taken out as it has decayed since it was added,
-// and no step goes through all routers.
+// useSum is the sum of the routers' uses of a model or adapter. All rates decay at the
+// same pace, and so does their sum: a router's part can be subtracted after the same
+// decay, without iterating over all routers.
 type useSum struct {
 	running    int
 	slow, fast float64
 	at         core.Time
-	// routers is the number of parts; without any the sum is dropped, and what rounding
-	// has left with it.
+	// routers is the number of parts. The sum is deleted when it reaches 0, and rounding
+	// errors with it.
 	routers int
 }
 
 func (s *useSum) decay(now core.Time) {
-	past := now.Sub(s.at)
-	s.slow = core.Decayed(s.slow, core.RateMemory, past)
-	s.fast = core.Decayed(s.fast, core.FastRateMemory, past)
+	elapsed := now.Sub(s.at)
+	s.slow = core.Decayed(s.slow, core.RateMemory, elapsed)
+	s.fast = core.Decayed(s.fast, core.FastRateMemory, elapsed)
 	s.at = now
 }
 
-// addUses adds the uses that a router has just told.
+// addUses adds the uses that a router has just reported.
 func (l *Loader) addUses(uses []core.Use) {
 	for _, u := range uses {
 		key := modelKey{u.Model, u.Adapter}
@@ -168,9 +167,9 @@
 	}
 }
 
-// removeUses takes out the uses that a router told a while ago.
-func (l *Loader) removeUses(uses []core.Use, heardAt core.Time) {
-	age := l.now.Sub(heardAt)
+// removeUses subtracts the uses that a router reported at demandAt.
+func (l *Loader) removeUses(uses []core.Use, demandAt core.Time) {
+	age := l.now.Sub(demandAt)
 	for _, u := range uses {
 		key := modelKey{u.Model, u.Adapter}
 		sum := l.useSums[key]
--- a/internal/loader/merge_test.go
+++ b/internal/loader/merge_test.go
@@ -10,11 +10,12 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Guards against sums of routers' uses that drift from what the routers told, as routers
-// come, speak and go: a model that nobody uses would stay, or a used one be evicted.
-func TestSumsOfUsesAreThoseOfTheRouters(t *testing.T) {
+// Guards against sums of uses that drift from what the routers reported as routers
+// connect, send demands and disconnect: an unused model would stay, or a used one would
+// be evicted.
+func TestUseSumsMatchRouterReports(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	w := newWorld(t, "m0", "m1")
+	w := newHarness(t, "m0", "m1")
 	for range 3000 {
 		w.now = w.now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 		name := largeRouter(random.IntN(6))
@@ -26,7 +27,7 @@
 		default:
 			w.step(DemandReceived{Router: name, Demand: core.Demand{Instance: "i-1", Uses: randomUses(random)}})
 		}
-		w.loader.merged.forget()
+		w.loader.merged.invalidate()
 		checkUses(t, w.loader)
 	}
 }
@@ -50,9 +51,9 @@
 	got := l.uses()
 	for i := range 3 {
 		key := modelKey{model: fmt.Sprintf("m%d", i)}
-		var want used
+		var want mergedUse
 		for name, r := range l.routers {
-			age := l.now.Sub(r.heardAt)
+			age := l.now.Sub(r.demandAt)
 			for _, u := range r.demand.Uses {
 				if u.Model != key.model {
 					continue
--- a/internal/loader/orders.go
+++ b/internal/loader/orders.go
@@ -7,39 +7,39 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file follows the orders that were sent to the engine.
+// This file tracks the orders that were sent to the engine.
 
-// task is an order for a model that was accepted.
+// task is a model order that the engine accepted.
 type task struct {
 	order fleet.Order
 	tier  tier
 	began core.Time
-	// due is when it should have ended.
+	// due is when it is expected to end.
 	due core.Time
 }
 
 func (l *Loader) orderDone(e OrderDone) {
-	l.ordering = false
+	l.orderPending = false
 	l.nextRead = l.now
 	if e.Result == fleet.OrderUnknown {
-		l.noteStray(e.Order)
+		l.noteUnanswered(e.Order)
 	}
 	l.emit(Count{core.Count{Name: metricOrders, Labels: []string{e.Order.Kind.String(), e.Result.String()}, Add: 1}})
-	// Guards against an answer of an earlier life: what it accepted is lost with
-	// it. A task that never ends would keep the engine from all further orders.
+	// Guards against an answer from an earlier life: the orders that it accepted are
+	// lost. A task that never ends would block all further orders to the engine.
 	if e.Order.For.Compare(l.engine.life) < 0 {
 		l.acceptedAt = l.now
-		l.log("order was to an earlier life of the engine", orderAttrs(e.Order, slog.String("result", e.Result.String()))...)
+		l.log("ignoring the result of an order to an earlier life of the engine", orderAttrs(e.Order, slog.String("result", e.Result.String()))...)
 		return
 	}
 	switch e.Result {
 	case fleet.OrderAccepted, fleet.OrderHolds:
-		l.accepted(e.Order, e.Result)
+		l.orderAccepted(e.Order, e.Result)
 		return
 	case fleet.OrderWrongInstance:
 		l.engine.life.Instance = e.Instance
 	}
-	l.nextOrder = l.now.Add(retryOrder)
+	l.nextOrder = l.now.Add(orderRetryDelay)
 	attrs := orderAttrs(e.Order, slog.String("result", e.Result.String()), slog.String("instance", e.Order.For.Instance))
 	if e.Err != nil {
 		attrs = append(attrs, slog.String("error", e.Err.Error()))
@@ -47,7 +47,7 @@
 	l.log("order not accepted", attrs...)
 }
 
-func (l *Loader) accepted(order fleet.Order, result fleet.OrderResult) {
+func (l *Loader) orderAccepted(order fleet.Order, result fleet.OrderResult) {
 	l.acceptedAt = l.now
 	if order.Adapter != "" || result == fleet.OrderHolds {
 		return
--- a/internal/loader/report.go
+++ b/internal/loader/report.go
@@ -11,33 +11,33 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// This file reads the engine's reports, and tells from them how orders ended.
+// This file handles the engine's reports and determines from them how orders ended.
 
 func (l *Loader) reportRead(e ReportRead) {
-	l.reading = false
-	if l.readAt < l.acceptedAt {
-		// Guards against a report that overtakes an order: it was read before
-		// the engine accepted it, and shows memory as free that is promised.
+	l.readPending = false
+	if l.lastReadAt < l.acceptedAt {
+		// Guards against a report that was read before the engine accepted an order and
+		// arrives after it. It shows memory as free that the order needs.
 		l.nextRead = l.now
 		return
 	}
 	if e.Err != nil {
-		l.engine.failed++
-		l.engine.ended = errors.Is(e.Err, syscall.ECONNREFUSED) && l.engine.answered && !l.engine.leaving
-		if l.engine.failed == failedReads {
+		l.engine.failedReads++
+		l.engine.ended = errors.Is(e.Err, syscall.ECONNREFUSED) && l.engine.answered && !l.engine.draining
+		if l.engine.failedReads == maxFailedReads {
 			l.log("engine does not answer", slog.String("error", e.Err.Error()))
 			l.engine.report, l.task = nil, nil
 		}
 		return
 	}
-	if !l.presentLife(e.Report) {
+	if !l.isCurrentLife(e.Report) {
 		return
 	}
-	if l.engine.failed >= failedReads {
+	if l.engine.failedReads >= maxFailedReads {
 		l.log("engine answers again", slog.Int64("orders", e.Report.Sequence))
 	}
-	l.engine.failed = 0
-	l.engine.answered, l.engine.leaving, l.engine.ended = true, e.Report.Draining, false
+	l.engine.failedReads = 0
+	l.engine.answered, l.engine.draining, l.engine.ended = true, e.Report.Draining, false
 	before := l.engine.report
 	l.engine.report = &e.Report
 	if before == nil || before.Draining != e.Report.Draining {
@@ -76,31 +76,31 @@
 	}
 }
 
-// scheduleRead asks for a report when one is due.
+// scheduleRead requests a report when one is due.
 func (l *Loader) scheduleRead() {
-	if l.reading || l.now < l.nextRead {
+	if l.readPending || l.now < l.nextRead {
 		return
 	}
-	l.reading, l.readAt = true, l.now
+	l.readPending, l.lastReadAt = true, l.now
 	l.nextRead = l.now.Add(l.readPause())
 	l.emit(ReadReport{})
 }
 
-// readPause is the pause before the next report but one.
+// readPause is the pause between the report requested now and the next one.
 func (l *Loader) readPause() time.Duration {
 	switch t := l.task; {
 	case t != nil && l.now < t.due:
-		return min(busyRead, t.due.Sub(l.now))
-	case t != nil && l.now.Sub(t.due) < lateAfter:
-		return endRead
+		return min(busyReadInterval, t.due.Sub(l.now))
+	case t != nil && l.now.Sub(t.due) < overdueAfter:
+		return finishReadInterval
 	case t != nil:
-		return lateRead
+		return overdueReadInterval
 	case l.engine.report != nil && len(l.engine.report.Coming) > 0:
-		return endRead
+		return finishReadInterval
 	case l.engine.report != nil && l.engine.report.Running > 0:
-		return busyRead
+		return busyReadInterval
 	default:
-		return idleRead
+		return idleReadInterval
 	}
 }
 
--- a/internal/loader/routers.go
+++ b/internal/loader/routers.go
@@ -7,28 +7,28 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file keeps the connected routers.
+// This file manages the connected routers.
 
 // router is a connected router.
 type router struct {
 	name   core.HostID
 	demand core.Demand
-	// heardAt is when the demand came; its times count from then. upAt is when the
-	// router connected.
-	heardAt, upAt core.Time
-	// spec names the engine's configuration that it has.
+	// demandAt is when the demand arrived; its durations count from then. connectedAt is
+	// when the router connected.
+	demandAt, connectedAt core.Time
+	// spec identifies the engine configuration that the router has.
 	spec core.SpecID
-	// processor is its share of a processor, 0 before it has told.
+	// processor is its share of a processor, 0 before it is reported.
 	processor float64
-	// version and nearVersion are those of the holdings that it was told last, 0
-	// before the first.
-	version, nearVersion int
+	// sentVersion and sentNearVersion are the versions of the holdings that were last
+	// sent to it, 0 before the first.
+	sentVersion, sentNearVersion int
 }
 
-// addRouter takes in a router that has connected, in place of its earlier connection.
+// addRouter adds a router that has connected and replaces its earlier connection.
 func (l *Loader) addRouter(name core.HostID) {
 	l.dropRouter(name)
-	r := &router{name: name, heardAt: l.now, upAt: l.now}
+	r := &router{name: name, demandAt: l.now, connectedAt: l.now}
 	l.routers[name] = r
 	i, _ := slices.BinarySearch(l.names, name)
 	l.names = slices.Insert(l.names, i, name)
@@ -36,13 +36,13 @@
 	l.log("router connected", slog.String("router", string(name)))
 }
 
-// dropRouter forgets a router, and what it uses.
+// dropRouter removes a router and its uses.
 func (l *Loader) dropRouter(name core.HostID) {
 	r := l.routers[name]
 	if r == nil {
 		return
 	}
-	l.removeUses(r.demand.Uses, r.heardAt)
+	l.removeUses(r.demand.Uses, r.demandAt)
 	delete(l.routers, name)
 	i, _ := slices.BinarySearch(l.names, name)
 	l.names = slices.Delete(l.names, i, i+1)
--- a/internal/loader/spec.go
+++ b/internal/loader/spec.go
@@ -8,7 +8,7 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// tier tells where the nearest copy of a model lies.
+// tier is where the nearest copy of a model lies.
 type tier uint8
 
 const (
@@ -17,7 +17,7 @@
 	tierHost
 )
 
-// String names the tier for logs and metrics.
+// String returns the tier's name for logs and metrics.
 func (t tier) String() string { return [...]string{"store", "disk", "host"}[t] }
 
 // spec is the engine's configuration.
@@ -28,12 +28,12 @@
 	models       map[string]core.ModelSpec
 }
 
-// specPatience is how long a router that was asked for the engine's configuration has to
-// send it, before another one is asked: it may be frozen or gone.
-const specPatience = 200 * time.Millisecond
+// specRequestTimeout is how long a router has to send the engine configuration that it
+// was asked for before another router is asked. It may be frozen or gone.
+const specRequestTimeout = 200 * time.Millisecond
 
-// setSpec keeps the newest configuration: routers get a change at different
-// times.
+// setSpec stores a configuration unless it is older than the current one: routers receive
+// a change at different times.
 func (l *Loader) setSpec(in *core.EngineSpec) {
 	if l.spec != nil && in.ID.Version < l.spec.id.Version {
 		return
@@ -45,35 +45,36 @@
 	l.spec = s
 }
 
-// newerSpec tells whether a router has a configuration of the engine that says other than
-// this loader's.
-func (l *Loader) newerSpec(id core.SpecID) bool {
+// isNewerSpec reports whether a router has a newer engine configuration whose contents
+// differ from this loader's.
+func (l *Loader) isNewerSpec(id core.SpecID) bool {
 	return id.Hash != 0 && (l.spec == nil || id.Version > l.spec.id.Version && id.Hash != l.spec.id.Hash)
 }
 
-// askSpec asks one router for a newer configuration of the engine, if any has one.
+// requestSpec asks one router for a newer configuration of the engine, if any router has
+// one.
 //
-// It answers this pattern: the configuration of an engine is 11 KB for 184 models. Sent by
-// each router to each loader, at each start and change, it was most of what 28 routers and
-// 52 loaders told each other: 16 MB each time. Routers name what they have in 16 bytes,
-// and one sends it.
-func (l *Loader) askSpec() {
-	if !l.specNamed || l.now < l.nextSpec {
+// An engine configuration is 11 KB for 184 models. When each router sent it to each
+// loader, at each start and change, it was most of the traffic between 28 routers and 52
+// loaders: 16 MB each time. Instead routers announce in 16 bytes which configuration they
+// have, and one sends it.
+func (l *Loader) requestSpec() {
+	if !l.newerSpecOffered || l.now < l.nextSpecRequest {
 		return
 	}
-	var have []core.HostID
+	var holders []core.HostID
 	for _, r := range l.connected {
-		if l.newerSpec(r.spec) {
-			have = append(have, r.name)
+		if l.isNewerSpec(r.spec) {
+			holders = append(holders, r.name)
 		}
 	}
-	if len(have) == 0 {
-		l.specNamed = false
+	if len(holders) == 0 {
+		l.newerSpecOffered = false
 		return
 	}
-	l.nextSpec = l.now.Add(specPatience)
-	l.specAsks++
-	l.emit(RequestSpec{Router: have[l.specAsks%len(have)]})
+	l.nextSpecRequest = l.now.Add(specRequestTimeout)
+	l.specRequests++
+	l.emit(RequestSpec{Router: holders[l.specRequests%len(holders)]})
 }
 
 func (l *Loader) tierOf(model string) tier {
@@ -101,15 +102,15 @@
 	}
 }
 
-// sizeOf is the memory of a loaded model with its adapters.
+// sizeOf returns the memory of a loaded model with its adapters.
 func (l *Loader) sizeOf(m fleet.LoadedModel) float64 {
 	s := l.spec.models[m.Name]
 	return s.MemoryMB + s.AdapterMB*float64(len(m.Adapters))
 }
 
-// freeMB is the engine's memory that is not taken.
+// freeMB returns the engine's unused memory.
 func (l *Loader) freeMB() float64 {
-	free := l.spec.memoryMB - l.strayMB()
+	free := l.spec.memoryMB - l.unansweredMB()
 	for _, m := range l.engine.report.Models {
 		free -= l.sizeOf(m)
 	}
@@ -120,7 +121,7 @@
 	return free
 }
 
-// adapterCount is the number of adapter slots taken.
+// adapterCount returns the number of adapter slots in use.
 func (l *Loader) adapterCount() int {
 	count := len(l.engine.report.Coming)
 	for _, m := range l.engine.report.Models {
--- a/internal/loader/usage.go
+++ b/internal/loader/usage.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// longestCount bounds the time that one report stands for: after a freeze or
-	// an engine's silence nothing is known of what was loaded.
-	longestCount = 2 * time.Second
-	// usageInterval is the time between two lines on an engine's use.
+	// maxCountedInterval limits the time that one report accounts for: after a freeze,
+	// or while an engine did not answer, it is unknown what was loaded.
+	maxCountedInterval = 2 * time.Second
+	// usageInterval is the time between two log lines on an engine's use.
 	usageInterval = 10 * time.Second
 )
 
-// usage is how long the engine and its models were loaded and used, in this
-// process's life.
+// usage sums up how long the engine and its models were loaded and used while this
+// process ran.
 type usage struct {
-	at, told core.Time
+	countedAt, loggedAt core.Time
 	// lastUsed is when a request was last seen on each loaded model.
 	lastUsed map[string]core.Time
-	// model and idleModel are model-seconds, engine and idleEngine seconds.
+	// model and idleModel are in model-seconds, engine and idleEngine in seconds.
 	model, idleModel, engine, idleEngine time.Duration
 }
 
-// countUsage counts the time since the last report.
+// countUsage adds the time since the last report.
 func (l *Loader) countUsage() {
 	u := &l.usage
-	past := min(longestCount, l.now.Sub(u.at))
-	first := u.at == 0
-	u.at = l.now
+	elapsed := min(maxCountedInterval, l.now.Sub(u.countedAt))
+	first := u.countedAt == 0
+	u.countedAt = l.now
 	if u.lastUsed == nil {
 		u.lastUsed = map[string]core.Time{}
 	}
-	l.noteUsed()
+	l.recordUsed()
 	if first {
-		u.told = l.now
+		u.loggedAt = l.now
 		return
 	}
 	for model := range u.lastUsed {
-		u.model += past
+		u.model += elapsed
 		use := "used"
 		if l.now.Sub(u.lastUsed[model]) > l.opts.IdleAfter {
-			u.idleModel += past
+			u.idleModel += elapsed
 			use = "idle"
 		}
-		l.emit(Count{core.Count{Name: metricModelSeconds, Labels: []string{use}, Add: past.Seconds()}})
+		l.emit(Count{core.Count{Name: metricModelSeconds, Labels: []string{use}, Add: elapsed.Seconds()}})
 	}
-	u.engine += past
+	u.engine += elapsed
 	use := "used"
 	if l.engine.report.Running == 0 {
-		u.idleEngine += past
+		u.idleEngine += elapsed
 		use = "idle"
 	}
-	l.emit(Count{core.Count{Name: metricEngineSeconds, Labels: []string{use}, Add: past.Seconds()}})
-	l.tellUsage()
+	l.emit(Count{core.Count{Name: metricEngineSeconds, Labels: []string{use}, Add: elapsed.Seconds()}})
+	l.logUsage()
 }
 
-// noteUsed notes which loaded models requests run on. A model counts as used from
-// its load on.
-func (l *Loader) noteUsed() {
+// recordUsed records which loaded models have running requests. A model counts as used
+// from its load on.
+func (l *Loader) recordUsed() {
 	loaded := map[string]bool{}
 	uses := l.uses()
 	for _, m := range l.engine.report.Models {
@@ -77,13 +77,13 @@
 	}
 }
 
-// tellUsage logs the sums from time to time.
-func (l *Loader) tellUsage() {
+// logUsage logs the sums every usageInterval.
+func (l *Loader) logUsage() {
 	u := &l.usage
-	if l.now.Sub(u.told) < usageInterval {
+	if l.now.Sub(u.loggedAt) < usageInterval {
 		return
 	}
-	u.told = l.now
+	u.loggedAt = l.now
 	l.log("engine use", slog.String("models", u.model.String()), slog.String("models_idle", u.idleModel.String()),
 		slog.String("engine", u.engine.String()), slog.String("engine_idle", u.idleEngine.String()))
 }
