--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -16,7 +16,7 @@
 	depthTime = time.Second
 	// LeastPerSecond is the rate at which requests go to a server that takes fewer, or
 	// none: what comes back is the only sign that it takes more again.
-	LeastPerSecond = 0.1
+	MinPerSecond = 0.1
 	// leastRoom bounds the time after which routers ask again: below it they would ask
 	// more often than there is anything to grant.
 	leastRoom = 20 * time.Millisecond
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -155,12 +155,12 @@
 // permits is the way that is kept: a loader grants each request.
 type permits struct {
 	script
-	keeper *Keeper
+	keeper *Limiter
 	gates  []*Gate
 }
 
 func newPermits(s script) way {
-	p := &permits{script: s, keeper: NewKeeper()}
+	p := &permits{script: s, keeper: NewLimiter()}
 	for i := range s.routers {
 		p.gates = append(p.gates, NewGate(float64(core.Score(fmt.Sprint(i), "server"))/(1<<64)))
 	}
@@ -176,11 +176,11 @@
 
 func (p *permits) tick(now core.Time) {
 	if p.keeperBack != 0 && p.cut == 0 && now.Sub(start) == p.keeperBack {
-		p.keeper = NewKeeper()
+		p.keeper = NewLimiter()
 	}
 }
 
-func (p *permits) unlimited(now core.Time, router int) { p.gates[router].Sent(now) }
+func (p *permits) unlimited(now core.Time, router int) { p.gates[router].RecordSent(now) }
 
 func (p *permits) knows(router int) bool {
 	_, named := p.gates[router].Limit()
@@ -188,11 +188,11 @@
 }
 
 func (p *permits) named(now core.Time, router int, perSecond float64) {
-	word := Word{Named: true, PerSecond: perSecond, Sent: now.Add(-10 * time.Millisecond), Heard: now}
+	word := Announcement{Named: true, PerSecond: perSecond, Sent: now.Add(-10 * time.Millisecond), Received: now}
 	if old, named := p.gates[router].Limit(); named && old != perSecond {
 		word.Sent = now
 	}
-	p.gates[router].Hear(now, word)
+	p.gates[router].Update(now, word)
 	if !p.reaches(now, router) {
 		return
 	}
@@ -201,7 +201,7 @@
 		return
 	}
 	for i, g := range p.gates {
-		if p.reaches(now, i) && g.Hear(now.Add(2*wayDelay), WordOf(now.Add(2*wayDelay), news.Word)) {
+		if p.reaches(now, i) && g.Update(now.Add(2*wayDelay), FromMessage(now.Add(2*wayDelay), news.Word)) {
 			p.ask(now.Add(3*wayDelay), i, 0, false)
 		}
 	}
@@ -209,27 +209,27 @@
 
 func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, news *core.LimitTold) {
 	g := p.gates[router]
-	return p.keeper.Ask(now, core.LimitAsk{
-		Server: core.ServerLife{Instance: "server"}, Word: g.Told(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
+	return p.keeper.Handle(now, core.LimitAsk{
+		Server: core.ServerLife{Instance: "server"}, Word: g.Message(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
 	})
 }
 
 func (p *permits) send(now core.Time, router int) bool {
 	g := p.gates[router]
 	switch {
-	case g.RoomIn(now, false) > 0:
+	case g.Delay(now, false) > 0:
 		return false
-	case p.reaches(now, router) && g.Asks(now):
+	case p.reaches(now, router) && g.NeedsPermit(now):
 		answer, _ := p.ask(now.Add(wayDelay), router, 1, false)
 		if !answer.Granted {
-			g.Refused(now.Add(2*wayDelay), answer.Room, false)
+			g.RecordRefusal(now.Add(2*wayDelay), answer.Room, false)
 		}
 		return answer.Granted
-	case g.Asks(now) && p.keeperGone != 0 && p.cut != 0:
-		g.Unanswered(now.Add(Patience))
+	case g.NeedsPermit(now) && p.keeperGone != 0 && p.cut != 0:
+		g.RecordTimeout(now.Add(PermitTimeout))
 	}
-	if g.TakeAlone(now, p.routers) {
-		g.Sent(now)
+	if g.TakeTurn(now, p.routers) {
+		g.RecordSent(now)
 		return true
 	}
 	return false
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -10,7 +10,7 @@
 const (
 	// Patience is how long a router waits for the loader's answer: some ways there and
 	// back, and a turn of a busy process.
-	Patience = 100 * time.Millisecond
+	PermitTimeout = 100 * time.Millisecond
 	// silentFor is how long a router decides by itself after a question that was not
 	// answered, before it asks again.
 	silentFor = time.Second
@@ -29,7 +29,7 @@
 // Gate decides in one router whether requests may go to one server. The zero value is not
 // usable; see NewGate.
 type Gate struct {
-	word Word
+	word Announcement
 	// since is when the limit that holds was first heard of.
 	since core.Time
 	// uncounted is what was sent without asking within the last window, and was not told.
@@ -63,9 +63,9 @@
 func (g *Gate) KnownSince() core.Time { return g.since }
 
 // Hear takes in a word on the limit, and tells whether it changes anything.
-func (g *Gate) Hear(now core.Time, word Word) (changed bool) {
+func (g *Gate) Update(now core.Time, word Announcement) (changed bool) {
 	before := g.word.Named
-	g.word, changed = g.word.Follow(word)
+	g.word, changed = g.word.Update(word)
 	if changed && !before {
 		g.since = now
 	}
@@ -76,7 +76,7 @@
 }
 
 // Told is what is known of the limit, as messages have it.
-func (g *Gate) Told(now core.Time) core.LimitWord { return g.word.told(now) }
+func (g *Gate) Message(now core.Time) core.LimitWord { return g.word.told(now) }
 
 // TakeUncounted returns what was sent without asking, to be told to the loader that
 // counts; nil if there is nothing.
@@ -91,11 +91,11 @@
 
 // Sent notes that a request was sent without asking: the server named no limit, or no
 // loader answered.
-func (g *Gate) Sent(now core.Time) { g.uncounted.Add(now, 1) }
+func (g *Gate) RecordSent(now core.Time) { g.uncounted.Add(now, 1) }
 
 // RoomIn is how long there is no room at the server, 0 if there may be: for any request,
 // or for one that another server could serve.
-func (g *Gate) RoomIn(now core.Time, spare bool) time.Duration {
+func (g *Gate) Delay(now core.Time, spare bool) time.Duration {
 	if !g.word.Named {
 		return 0
 	}
@@ -107,27 +107,27 @@
 }
 
 // ReturnIn is when the next caller who is refused for want of room should come back.
-func (g *Gate) ReturnIn(now core.Time) time.Duration {
-	return g.refused.after(now, g.RoomIn(now, false), pauseOf(g.word.PerSecond))
+func (g *Gate) RetryAfter(now core.Time) time.Duration {
+	return g.refused.after(now, g.Delay(now, false), pauseOf(g.word.PerSecond))
 }
 
 // Asked notes that a request is to go to the server, once it is permitted.
-func (g *Gate) Asked(now core.Time) { g.askedAt = now }
+func (g *Gate) RecordIntent(now core.Time) { g.askedAt = now }
 
 // Unconfirmed tells that the limit is to be looked into, and may be.
 //
 // It guards against a limit that is over and holds for good: where other servers are as
 // good, nothing is sent there and nobody hears of its end.
 func (g *Gate) Unconfirmed(now core.Time) bool {
-	return g.word.Named && now.Sub(max(g.word.Heard, g.askedAt)) >= confirmAfter && g.RoomIn(now, true) == 0
+	return g.word.Named && now.Sub(max(g.word.Received, g.askedAt)) >= confirmAfter && g.Delay(now, true) == 0
 }
 
 // Asks tells whether requests need the loader's grant: it is there and has not been
 // silent lately.
-func (g *Gate) Asks(now core.Time) bool { return now >= g.silentUntil }
+func (g *Gate) NeedsPermit(now core.Time) bool { return now >= g.silentUntil }
 
 // Refused takes in that the loader has room later.
-func (g *Gate) Refused(now core.Time, room time.Duration, spare bool) {
+func (g *Gate) RecordRefusal(now core.Time, room time.Duration, spare bool) {
 	if spare {
 		g.spareRoom = now.Add(room)
 		return
@@ -137,10 +137,10 @@
 
 // LoaderBack takes in that the loader that counts is connected again: it may have room
 // before this router's next turn.
-func (g *Gate) LoaderBack(now core.Time) { g.room, g.spareRoom, g.silentUntil = now, now, now }
+func (g *Gate) LoaderReconnected(now core.Time) { g.room, g.spareRoom, g.silentUntil = now, now, now }
 
 // Unanswered takes in that the loader did not answer a question.
-func (g *Gate) Unanswered(now core.Time) { g.silentUntil = now.Add(silentFor) }
+func (g *Gate) RecordTimeout(now core.Time) { g.silentUntil = now.Add(silentFor) }
 
 // TakeAlone decides by turns: of so many routers each has one as often as makes the limit
 // for all together, and may send one request while it lasts.
@@ -150,8 +150,8 @@
 // at once, after a quiet time, do not send it all there. Where a few routers go by turns
 // while the loader grants all of the limit to the others, what they take lies within the
 // half that servers bear beyond their limits.
-func (g *Gate) TakeAlone(now core.Time, routers int) bool {
-	perSecond := max(LeastPerSecond, g.word.PerSecond) / float64(max(1, routers))
+func (g *Gate) TakeTurn(now core.Time, routers int) bool {
+	perSecond := max(MinPerSecond, g.word.PerSecond) / float64(max(1, routers))
 	period := max(leastPeriod, time.Duration(float64(time.Second)/perSecond))
 	turn := now - core.Time(time.Duration(now)+period-time.Duration(g.phase*float64(period)))%core.Time(period)
 	next := turn.Add(period)
--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -10,7 +10,7 @@
 // limitedGate is a gate of a server that takes 2 requests a second, and decides alone.
 func limitedGate(now core.Time) *Gate {
 	g := NewGate(0.5)
-	g.Hear(now, named(2, now-10, now))
+	g.Update(now, named(2, now-10, now))
 	return g
 }
 
@@ -19,11 +19,11 @@
 // refuse its callers until its next turn.
 func TestRouterAsksAgainOnceTheLoaderMayAnswer(t *testing.T) {
 	g := limitedGate(start)
-	g.Unanswered(start)
-	if g.TakeAlone(start, 100) {
+	g.RecordTimeout(start)
+	if g.TakeTurn(start, 100) {
 		t.Fatal("it has a turn now; the test needs one that has none")
 	}
-	if room := g.RoomIn(start, false); room > silentFor {
+	if room := g.Delay(start, false); room > silentFor {
 		t.Errorf("no room for %v while the loader may answer in %v", room, silentFor)
 	}
 }
@@ -31,12 +31,12 @@
 // The same, and the loader was gone and is connected again.
 func TestRouterAsksAgainOnceTheLoaderIsBack(t *testing.T) {
 	g := limitedGate(start)
-	g.TakeAlone(start, 100)
-	if room := g.RoomIn(start, false); room < silentFor {
+	g.TakeTurn(start, 100)
+	if room := g.Delay(start, false); room < silentFor {
 		t.Fatalf("room in %v; the test needs a turn that is far", room)
 	}
-	g.LoaderBack(start)
-	if room := g.RoomIn(start, false); room > 0 {
+	g.LoaderReconnected(start)
+	if room := g.Delay(start, false); room > 0 {
 		t.Errorf("no room for %v with the loader connected", room)
 	}
 }
@@ -45,9 +45,9 @@
 // rounds to nothing, by which a router divided and ended.
 func TestHugeLimitAlone(t *testing.T) {
 	g := NewGate(0.5)
-	g.Hear(start, named(999_999_999_999, start-10, start))
+	g.Update(start, named(999_999_999_999, start-10, start))
 	for i := range 3 {
-		if now := start.Add(1000 * time.Duration(i+1)); !g.TakeAlone(now, 1) {
+		if now := start.Add(1000 * time.Duration(i+1)); !g.TakeTurn(now, 1) {
 			t.Errorf("request %d was refused", i)
 		}
 	}
--- a/internal/limit/keeper.go
+++ b/internal/limit/keeper.go
@@ -18,12 +18,12 @@
 
 // Keeper counts, in a loader, what all routers send to the servers whose limits it keeps.
 // The zero value is not usable; see NewKeeper.
-type Keeper struct{ servers map[string]*kept }
+type Limiter struct{ servers map[string]*kept }
 
 // kept is a server whose limit is kept.
 type kept struct {
 	life   core.ServerLife
-	word   Word
+	word   Announcement
 	bucket bucket
 	// refused are the routers that were refused and ask again.
 	refused line
@@ -32,11 +32,11 @@
 }
 
 // NewKeeper returns a keeper that knows of no server.
-func NewKeeper() *Keeper { return &Keeper{servers: map[string]*kept{}} }
+func NewLimiter() *Limiter { return &Limiter{servers: map[string]*kept{}} }
 
 // Ask takes in a router's word. It returns the answer if something was asked, and what all
 // other routers are to know if the limit is new.
-func (k *Keeper) Ask(now core.Time, ask core.LimitAsk) (answer, news *core.LimitTold) {
+func (k *Limiter) Handle(now core.Time, ask core.LimitAsk) (answer, news *core.LimitTold) {
 	s, ours := k.server(now, ask.Server)
 	if !ours {
 		return refusedAsk(ask), nil
@@ -55,7 +55,7 @@
 }
 
 // server returns a server's present life, and false for a word on an earlier one.
-func (k *Keeper) server(now core.Time, life core.ServerLife) (*kept, bool) {
+func (k *Limiter) server(now core.Time, life core.ServerLife) (*kept, bool) {
 	s := k.servers[life.Instance]
 	if s != nil && life.Born != 0 && life.Born < s.life.Born {
 		return nil, false
@@ -77,9 +77,9 @@
 }
 
 func (s *kept) hear(now core.Time, told core.LimitWord) (changed bool) {
-	s.word, changed = s.word.Follow(WordOf(now, told))
+	s.word, changed = s.word.Update(FromMessage(now, told))
 	if changed && s.word.Named {
-		s.bucket.setRate(now, max(LeastPerSecond, s.word.PerSecond))
+		s.bucket.setRate(now, max(MinPerSecond, s.word.PerSecond))
 	}
 	return changed
 }
@@ -108,7 +108,7 @@
 }
 
 // All returns what a router that has just connected is to know: the limits that hold.
-func (k *Keeper) All(now core.Time) []core.LimitTold {
+func (k *Limiter) Active(now core.Time) []core.LimitTold {
 	var all []core.LimitTold
 	for _, instance := range slices.Sorted(maps.Keys(k.servers)) {
 		if s := k.servers[instance]; s.word.Named {
@@ -128,7 +128,7 @@
 }
 
 // Dump returns the state of all servers that are kept, by instance.
-func (k *Keeper) Dump(now core.Time) []State {
+func (k *Limiter) Dump(now core.Time) []State {
 	var states []State
 	for _, instance := range slices.Sorted(maps.Keys(k.servers)) {
 		s := k.servers[instance]
@@ -143,27 +143,27 @@
 
 // Forget drops servers of which nobody has said anything for long. A router that knows of
 // a limit there tells it anew with its next question.
-func (k *Keeper) Forget(now core.Time) {
+func (k *Limiter) RemoveStale(now core.Time) {
 	maps.DeleteFunc(k.servers, func(_ string, s *kept) bool { return now.Sub(s.heardAt) > forgetAfter })
 }
 
 // WordOf is a message's word in this process's time.
-func WordOf(now core.Time, told core.LimitWord) Word {
+func FromMessage(now core.Time, told core.LimitWord) Announcement {
 	if told.HeardAgo == 0 {
-		return Word{} // nothing was heard yet; see Word.told
+		return Announcement{} // nothing was heard yet; see Word.told
 	}
-	return Word{
+	return Announcement{
 		Named: told.Named, PerSecond: told.PerSecond,
-		Sent: now.Add(-told.SentAgo), Heard: now.Add(-told.HeardAgo),
+		Sent: now.Add(-told.SentAgo), Received: now.Add(-told.HeardAgo),
 	}
 }
 
 // told is the word as messages have it. Of one that was heard, HeardAgo is never 0.
-func (w Word) told(now core.Time) core.LimitWord {
+func (w Announcement) told(now core.Time) core.LimitWord {
 	if !w.known() {
 		return core.LimitWord{}
 	}
 	return core.LimitWord{
-		Named: w.Named, PerSecond: w.PerSecond, SentAgo: now.Sub(w.Sent), HeardAgo: max(1, now.Sub(w.Heard)),
+		Named: w.Named, PerSecond: w.PerSecond, SentAgo: now.Sub(w.Sent), HeardAgo: max(1, now.Sub(w.Received)),
 	}
 }
--- a/internal/limit/keeper_test.go
+++ b/internal/limit/keeper_test.go
@@ -17,10 +17,10 @@
 }
 
 // granted counts the questions that are granted, one each 10 ms for a time.
-func granted(k *Keeper, from core.Time, lasts time.Duration, ask core.LimitAsk) int {
+func granted(k *Limiter, from core.Time, lasts time.Duration, ask core.LimitAsk) int {
 	n := 0
 	for t := time.Duration(0); t < lasts; t += 10 * time.Millisecond {
-		if answer, _ := k.Ask(from.Add(t), ask); answer.Granted {
+		if answer, _ := k.Handle(from.Add(t), ask); answer.Granted {
 			n++
 		}
 	}
@@ -30,10 +30,10 @@
 // A server that got 14 requests a second names 5. What it got in the seconds before counts:
 // it gets nothing more until that has passed by, and then what it takes.
 func TestWhatAServerGotBeforeItNamedItsLimitCounts(t *testing.T) {
-	k := NewKeeper()
+	k := NewLimiter()
 	first := asks(0, 5, 0)
 	first.Uncounted = []float64{7, 7, 7, 7, 7, 7, 7, 7}
-	k.Ask(start, first)
+	k.Handle(start, first)
 	if n := granted(k, start, 1500*time.Millisecond, asks(0, 5, 1)); n > 0 {
 		t.Errorf("%d granted within 1.5 s, after 56 in 4 s", n)
 	}
@@ -46,15 +46,15 @@
 // Requests that another server could serve leave a part of a limit to those that no other
 // can.
 func TestSpareRequestsLeaveAPart(t *testing.T) {
-	k := NewKeeper()
+	k := NewLimiter()
 	spare := asks(0, 10, 1)
 	spare.Spare = true
 	granted(k, start, 4*time.Second, spare)
 	at := start.Add(4 * time.Second)
-	if answer, _ := k.Ask(at, spare); answer.Granted || answer.Room == 0 {
+	if answer, _ := k.Handle(at, spare); answer.Granted || answer.Room == 0 {
 		t.Errorf("spare: %+v, want it refused with a time", answer)
 	}
-	if answer, _ := k.Ask(at, asks(0, 10, 2)); !answer.Granted {
+	if answer, _ := k.Handle(at, asks(0, 10, 2)); !answer.Granted {
 		t.Errorf("no other server: %+v, want it granted", answer)
 	}
 }
@@ -62,11 +62,11 @@
 // Callers whose permit was refused are told times one permit apart, so that they do not
 // come back in step.
 func TestRefusedAreToldDifferentTimes(t *testing.T) {
-	k := NewKeeper()
+	k := NewLimiter()
 	granted(k, start, 100*time.Millisecond, asks(0, 2, 1))
 	var last time.Duration
 	for i := range 5 {
-		answer, _ := k.Ask(start.Add(time.Second/10), asks(0, 2, 1))
+		answer, _ := k.Handle(start.Add(time.Second/10), asks(0, 2, 1))
 		if answer.Granted || answer.Room-last < 400*time.Millisecond && answer.Room < longestLine-time.Second {
 			t.Fatalf("question %d: %+v after room in %v", i, answer, last)
 		}
@@ -77,22 +77,22 @@
 // A server started again under its instance. The limit of the life before is over, and a
 // word on it that comes late changes nothing.
 func TestKeeperKnowsLivesApart(t *testing.T) {
-	k := NewKeeper()
-	k.Ask(start, asks(1, 2, 0))
-	if answer, _ := k.Ask(start, core.LimitAsk{Server: life(2), Ask: 1}); !answer.Granted {
+	k := NewLimiter()
+	k.Handle(start, asks(1, 2, 0))
+	if answer, _ := k.Handle(start, core.LimitAsk{Server: life(2), Ask: 1}); !answer.Granted {
 		t.Errorf("the next life: %+v, want it granted", answer)
 	}
-	if answer, news := k.Ask(start, asks(1, 2, 1)); answer.Granted || news != nil {
+	if answer, news := k.Handle(start, asks(1, 2, 1)); answer.Granted || news != nil {
 		t.Errorf("a word on the life before: %+v, %+v", answer, news)
 	}
-	if all := k.All(start); len(all) != 0 {
+	if all := k.Active(start); len(all) != 0 {
 		t.Errorf("a router that connects is told %+v", all)
 	}
 }
 
 // A limit is named, told to all once, raised, and over: each is news, and nothing else is.
 func TestOnlyChangesAreNews(t *testing.T) {
-	k := NewKeeper()
+	k := NewLimiter()
 	at := start
 	for i, step := range []struct {
 		word core.LimitWord
@@ -106,7 +106,7 @@
 		{core.LimitWord{SentAgo: 2, HeardAgo: 1}, false},
 	} {
 		at = at.Add(time.Second)
-		_, news := k.Ask(at, core.LimitAsk{Server: life(0), Word: step.word})
+		_, news := k.Handle(at, core.LimitAsk{Server: life(0), Word: step.word})
 		if (news != nil) != step.news {
 			t.Errorf("word %d: news %+v", i, news)
 		}
@@ -116,13 +116,13 @@
 // Servers of which nobody says anything are forgotten, so that a loader's memory does not
 // grow with all that ever named a limit.
 func TestKeeperForgets(t *testing.T) {
-	k := NewKeeper()
-	k.Ask(start, asks(0, 5, 0))
-	k.Forget(start.Add(forgetAfter))
+	k := NewLimiter()
+	k.Handle(start, asks(0, 5, 0))
+	k.RemoveStale(start.Add(forgetAfter))
 	if len(k.servers) != 1 {
 		t.Error("forgotten too soon")
 	}
-	k.Forget(start.Add(forgetAfter + 1))
+	k.RemoveStale(start.Add(forgetAfter + 1))
 	if len(k.servers) != 0 {
 		t.Error("not forgotten")
 	}
--- a/internal/limit/line.go
+++ b/internal/limit/line.go
@@ -28,5 +28,5 @@
 
 // pauseOf is the time between two permits at a rate.
 func pauseOf(perSecond float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(LeastPerSecond, perSecond))
+	return time.Duration(float64(time.Second) / max(MinPerSecond, perSecond))
 }
--- a/internal/limit/word_test.go
+++ b/internal/limit/word_test.go
@@ -6,11 +6,11 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-func named(perSecond float64, sent, heard core.Time) Word {
-	return Word{Named: true, PerSecond: perSecond, Sent: sent, Heard: heard}
+func named(perSecond float64, sent, heard core.Time) Announcement {
+	return Announcement{Named: true, PerSecond: perSecond, Sent: sent, Received: heard}
 }
 
-func none(sent, heard core.Time) Word { return Word{Sent: sent, Heard: heard} }
+func none(sent, heard core.Time) Announcement { return Announcement{Sent: sent, Received: heard} }
 
 // A server names a limit, lowers it and takes it back, while answers that began earlier
 // are still on their way. Taken as they come, an old one would lift a limit that holds,
@@ -18,13 +18,13 @@
 func TestFollowKnowsOldWordsFromNewOnes(t *testing.T) {
 	tests := []struct {
 		name    string
-		before  Word
-		next    Word
-		want    Word
+		before  Announcement
+		next    Announcement
+		want    Announcement
 		changed bool
 	}{
-		{"no limit, none before", Word{}, none(10, 20), Word{}, false},
-		{"the first limit", Word{}, named(5, 10, 20), named(5, 10, 20), true},
+		{"no limit, none before", Announcement{}, none(10, 20), Announcement{}, false},
+		{"the first limit", Announcement{}, named(5, 10, 20), named(5, 10, 20), true},
 		{"the same again", named(5, 10, 20), named(5, 15, 30), named(5, 15, 30), false},
 		{"the same, out of order", named(5, 15, 30), named(5, 10, 20), named(5, 15, 30), false},
 		{"lowered", named(5, 10, 20), named(4, 15, 30), named(4, 15, 30), true},
@@ -40,7 +40,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got, changed := test.before.Follow(test.next)
+			got, changed := test.before.Update(test.next)
 			if got != test.want || changed != test.changed {
 				t.Errorf("Follow = %+v, %t; want %+v, %t", got, changed, test.want, test.changed)
 			}
--- a/internal/loader/limits.go
+++ b/internal/loader/limits.go
@@ -10,8 +10,8 @@
 // loader: its engine and servers of plain services. See package limit.
 
 func (l *Loader) handleLimitRequest(e LimitRequested) {
-	l.limits.Forget(l.now)
-	answer, broadcast := l.limits.Ask(l.now, e.Ask)
+	l.limits.RemoveStale(l.now)
+	answer, broadcast := l.limits.Handle(l.now, e.Ask)
 	if answer != nil {
 		l.emit(SendLimit{Routers: []core.HostID{e.Router}, Limit: *answer})
 	}
@@ -25,7 +25,7 @@
 
 // sendLimits sends the limits in force to a router that has just connected.
 func (l *Loader) sendLimits(router core.HostID) {
-	for _, active := range l.limits.All(l.now) {
+	for _, active := range l.limits.Active(l.now) {
 		l.emit(SendLimit{Routers: []core.HostID{router}, Limit: active})
 	}
 }
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -105,7 +105,7 @@
 	// quotas grants routers tokens of client accounts.
 	quotas *quota.Keeper
 	// limits enforces the limits of servers that announce one.
-	limits  *limit.Keeper
+	limits  *limit.Limiter
 	configs configRelay
 	usage   usage
 	merged  mergeCache
@@ -136,7 +136,7 @@
 
 // New returns a loader without any state of the engine or routers.
 func New(opts Options) *Loader {
-	return &Loader{opts: opts, routers: map[core.HostID]*router{}, loadedAt: map[string]core.Time{}, retiring: map[string]core.Time{}, ledger: poison.New(), quotas: quota.NewKeeper(), limits: limit.NewKeeper(), configs: configRelay{waiting: map[core.HostID]int64{}}, useSums: map[modelKey]*useSum{}}
+	return &Loader{opts: opts, routers: map[core.HostID]*router{}, loadedAt: map[string]core.Time{}, retiring: map[string]core.Time{}, ledger: poison.New(), quotas: quota.NewKeeper(), limits: limit.NewLimiter(), configs: configRelay{waiting: map[core.HostID]int64{}}, useSums: map[modelKey]*useSum{}}
 }
 
 // Step handles an event. The effects are valid until the next step.
--- a/internal/router/ending.go
+++ b/internal/router/ending.go
@@ -93,7 +93,7 @@
 			r.cutAtStop(req)
 		case req.backend == nil && !r.endsInTime(req, 0):
 			r.refuseAtStop(req)
-		case req.asking != nil && r.now.Sub(req.askedAt) >= limit.Patience:
+		case req.asking != nil && r.now.Sub(req.askedAt) >= limit.PermitTimeout:
 			r.permitLate(req)
 		case req.asksQuota && r.now >= req.firstBy:
 			r.giveUp(req, code.DeadlineUnmet, "no loader told in time whether its account has room")
--- a/internal/router/permit.go
+++ b/internal/router/permit.go
@@ -28,19 +28,19 @@
 // or sent on its way elsewhere.
 func (r *Router) permitted(req *request, b *backend, spare bool) bool {
 	gate := b.limit.gate
-	gate.Asked(r.now)
+	gate.RecordIntent(r.now)
 	switch keeper := r.keeperOf(b); {
 	case req.granted == b:
 		req.granted = nil
 		return true
 	case !b.limited():
-		gate.Sent(r.now)
+		gate.RecordSent(r.now)
 		return true
-	case keeper != nil && gate.Asks(r.now):
+	case keeper != nil && gate.NeedsPermit(r.now):
 		r.askPermit(req, b, keeper, spare)
 		return false
-	case gate.TakeAlone(r.now, r.routers()):
-		gate.Sent(r.now)
+	case gate.TakeTurn(r.now, r.routers()):
+		gate.RecordSent(r.now)
 		r.countPermit(b, "own part")
 		return true
 	default:
@@ -69,7 +69,7 @@
 	req.asking = nil
 	switch {
 	case !told.Granted:
-		b.limit.gate.Refused(r.now, told.Room, told.Spare)
+		b.limit.gate.RecordRefusal(r.now, told.Room, told.Spare)
 		r.countPermit(b, "refused")
 		r.noRoom(req, b, "the loader that counts")
 	case !r.serves(b, req):
@@ -88,7 +88,7 @@
 func (r *Router) permitLate(req *request) {
 	b := req.asking
 	req.asking = nil
-	b.limit.gate.Unanswered(r.now)
+	b.limit.gate.RecordTimeout(r.now)
 	r.countPermit(b, "unanswered")
 	r.log(OneRequest, "loader did not answer for a server's limit", req.attrs("instance", b.Instance)...)
 	r.dispatch(req)
@@ -99,7 +99,7 @@
 	perSecond, _ := b.limit.gate.Limit()
 	r.log(OneRequest, "backend server has no room for the request", req.attrs("instance", b.Instance, "per_second", perSecond,
 		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "refused_by", by,
-		"room_in", b.limit.gate.RoomIn(r.now, true).String())...)
+		"room_in", b.limit.gate.Delay(r.now, true).String())...)
 	r.dispatch(req)
 }
 
@@ -117,7 +117,7 @@
 
 // hasRoom tells that a server may take a request that no other server can serve.
 func (r *Router) hasRoom(b *backend) bool {
-	return len(r.limited) == 0 || b.limit.gate.RoomIn(r.now, false) == 0
+	return len(r.limited) == 0 || b.limit.gate.Delay(r.now, false) == 0
 }
 
 // withRoom leaves out of several servers those that have room only for what no other
@@ -138,7 +138,7 @@
 
 // hasSpareRoom tells that a server may take a request that another server could serve.
 func (r *Router) hasSpareRoom(b *backend) bool {
-	return len(r.limited) == 0 || b.limit.gate.RoomIn(r.now, true) == 0
+	return len(r.limited) == 0 || b.limit.gate.Delay(r.now, true) == 0
 }
 
 // canServe tells that a server takes the request now.
@@ -152,7 +152,7 @@
 	var first *backend
 	room := time.Duration(0)
 	for _, b := range r.serversOf(req.service) {
-		in := b.limit.gate.RoomIn(r.now, false)
+		in := b.limit.gate.Delay(r.now, false)
 		if r.takes(b, req) && (first == nil || in < room) {
 			first, room = b, in
 		}
@@ -162,7 +162,7 @@
 		return
 	}
 	perSecond, _ := first.limit.gate.Limit()
-	r.finish(req, code.AtLimit, r.returnIn(first.limit.gate.ReturnIn(r.now)), fmt.Sprintf("no server has room within its limit; the first is %s, which has named %g a second for %v",
+	r.finish(req, code.AtLimit, r.returnIn(first.limit.gate.RetryAfter(r.now)), fmt.Sprintf("no server has room within its limit; the first is %s, which has named %g a second for %v",
 		first.Instance, perSecond, r.now.Sub(first.limit.gate.KnownSince())))
 }
 
@@ -172,8 +172,8 @@
 	if !named {
 		return 0
 	}
-	queue := float64(max(0, waiting-1)) / max(limit.LeastPerSecond, perSecond)
-	return b.limit.gate.RoomIn(r.now, false) + time.Duration(queue*float64(time.Second))
+	queue := float64(max(0, waiting-1)) / max(limit.MinPerSecond, perSecond)
+	return b.limit.gate.Delay(r.now, false) + time.Duration(queue*float64(time.Second))
 }
 
 // short tells that an engine takes fewer requests than its models are called for there, by
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -48,9 +48,9 @@
 		r.limitMalformed(b, answer.Limit.Text)
 		return
 	}
-	r.hearLimit(b, "its answer", limit.Word{
+	r.hearLimit(b, "its answer", limit.Announcement{
 		Named: answer.Limit.State == fleet.LimitNamed, PerSecond: answer.Limit.PerSecond,
-		Sent: req.attempt.at, Heard: r.now,
+		Sent: req.attempt.at, Received: r.now,
 	})
 }
 
@@ -62,7 +62,7 @@
 	}
 	life := fleet.Incarnation{Instance: e.Told.Server.Instance, Born: e.Told.Server.Born}
 	if life.Compare(b.Incarnation) == 0 {
-		r.hearLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Told.Word))
+		r.hearLimit(b, "loader "+string(e.Loader), limit.FromMessage(r.now, e.Told.Word))
 	}
 	if e.Told.Ask != 0 {
 		r.permitAnswered(b, e.Told)
@@ -71,9 +71,9 @@
 
 // hearLimit takes in a word on a server's limit. A change is logged and told to the loader
 // that counts.
-func (r *Router) hearLimit(b *backend, source string, word limit.Word) {
+func (r *Router) hearLimit(b *backend, source string, word limit.Announcement) {
 	before, wasLimited := b.limit.gate.Limit()
-	if !b.limit.gate.Hear(r.now, word) {
+	if !b.limit.gate.Update(r.now, word) {
 		return
 	}
 	now, limited := b.limit.gate.Limit()
@@ -158,7 +158,7 @@
 func (r *Router) tellLimits(l *loader) {
 	for _, b := range r.limited {
 		if r.keeperOf(b) == l {
-			b.limit.gate.LoaderBack(r.now)
+			b.limit.gate.LoaderReconnected(r.now)
 			r.tellKeeper(b)
 		}
 	}
@@ -166,7 +166,7 @@
 
 func (r *Router) limitWord(b *backend) core.LimitAsk {
 	return core.LimitAsk{
-		Server: lifeOf(b.Incarnation), Word: b.limit.gate.Told(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
+		Server: lifeOf(b.Incarnation), Word: b.limit.gate.Message(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
 	}
 }
 
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -217,7 +217,7 @@
 func TestFrozenLoaderHoldsUpNobody(t *testing.T) {
 	w := limitedWorld(t, 1, 50)
 	key := w.call("once", nil)
-	w.run(limit.Patience + 2*tickInterval)
+	w.run(limit.PermitTimeout + 2*tickInterval)
 	if f, ended := w.finishes[key]; len(w.sends[key]) == 0 && !ended {
 		t.Fatal("the request still waits for the loader")
 	} else if ended && f.Code != code.AtLimit {
