--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// Window is the time within which a server is not to get more than its limit allows.
+	// Window is the period over which a server's limit is enforced.
 	Window = 4 * time.Second
-	// windowSlots is how finely a window is counted.
+	// windowSlots is the number of slots in which a window is counted.
 	windowSlots = 32
-	// depthTime is how much of a limit may come at once.
-	depthTime = time.Second
-	// LeastPerSecond is the rate at which requests go to a server that takes fewer, or
-	// none: what comes back is the only sign that it takes more again.
+	// burstTime is how long the bucket takes to fill at the limit: the size of a burst.
+	burstTime = time.Second
+	// MinPerSecond is the rate at which requests go to a server with a lower limit, or a
+	// limit of 0: only their answers show when it takes more again.
 	MinPerSecond = 0.1
-	// leastRoom bounds the time after which routers ask again: below it they would ask
-	// more often than there is anything to grant.
-	leastRoom = 20 * time.Millisecond
+	// minDelay is the minimum time after which routers ask again. With a shorter one
+	// they would ask more often than permits become available.
+	minDelay = 20 * time.Millisecond
 )
 
-// bucket is what may be sent at a rate: tokens that fill at it, and a window.
+// bucket limits requests to a rate by a token bucket and a sliding window.
 type bucket struct {
-	// tokens are as of a time, at most depth. Each is one request.
+	// tokens are the tokens at the time at, at most capacity. Each is one request.
 	tokens float64
 	at     core.Time
-	// sent is what was sent within a window, by all whom the bucket counts.
+	// sent counts the requests within the window, from all routers that the bucket
+	// counts for.
 	sent window.Window
-	// rate is in requests a second.
+	// rate is in requests per second.
 	rate float64
 }
 
@@ -37,28 +38,28 @@
 	return bucket{at: now, sent: window.New(Window, windowSlots)}
 }
 
-// depth is the most that may come at once.
-func (b *bucket) depth() float64 { return 1 + b.rate*depthTime.Seconds() }
+// capacity returns the size of the largest burst.
+func (b *bucket) capacity() float64 { return 1 + b.rate*burstTime.Seconds() }
 
-// most is what the window has room for.
-func (b *bucket) most() float64 { return b.rate*Window.Seconds() + b.depth() }
+// windowLimit returns the number of requests that may be sent within the window.
+func (b *bucket) windowLimit() float64 { return b.rate*Window.Seconds() + b.capacity() }
 
 // setRate changes the rate from now on.
 func (b *bucket) setRate(now core.Time, perSecond float64) {
 	b.fill(now)
 	b.rate = perSecond
-	b.tokens = min(b.tokens, b.depth())
+	b.tokens = min(b.tokens, b.capacity())
 }
 
 func (b *bucket) fill(now core.Time) {
-	b.tokens = min(b.depth(), b.tokens+b.rate*now.Sub(b.at).Seconds())
+	b.tokens = min(b.capacity(), b.tokens+b.rate*now.Sub(b.at).Seconds())
 	b.at = now
 }
 
-// take takes a token if that leaves so many, and the window has room.
-func (b *bucket) take(now core.Time, leaves float64) bool {
+// take takes a token if at least reserve tokens remain and the window has room.
+func (b *bucket) take(now core.Time, reserve float64) bool {
 	b.fill(now)
-	if b.tokens < 1+leaves || b.sent.Total(now)+1 > b.most() {
+	if b.tokens < 1+reserve || b.sent.Total(now)+1 > b.windowLimit() {
 		return false
 	}
 	b.tokens--
@@ -66,16 +67,16 @@
 	return true
 }
 
-// roomIn is how long it takes until a token can be taken so that so many are left, if
-// nobody else takes one.
-func (b *bucket) roomIn(now core.Time, leaves float64) time.Duration {
+// delay returns the time until take can succeed with the given reserve if no other token
+// is taken meanwhile.
+func (b *bucket) delay(now core.Time, reserve float64) time.Duration {
 	b.fill(now)
-	room := leastRoom
-	if missing := 1 + leaves - b.tokens; missing > 0 {
-		room = max(room, time.Duration(missing/b.rate*float64(time.Second)))
+	delay := minDelay
+	if missing := 1 + reserve - b.tokens; missing > 0 {
+		delay = max(delay, time.Duration(missing/b.rate*float64(time.Second)))
 	}
-	if b.sent.Total(now)+1 > b.most() {
-		room = max(room, b.sent.RoomIn(now, b.most()-1))
+	if b.sent.Total(now)+1 > b.windowLimit() {
+		delay = max(delay, b.sent.RoomIn(now, b.windowLimit()-1))
 	}
-	return room
+	return delay
 }
--- a/internal/limit/doc.go
+++ b/internal/limit/doc.go
@@ -1,25 +1,27 @@
-// Package limit keeps the limits that backend servers name: how many requests a second
-// they take from all routers together.
+// Package limit enforces the limits that backend servers announce: how many requests a
+// second they take from all routers together.
 //
-// # Who counts
+// # Enforcement
 //
-// For each server that names a limit one loader counts for all routers (Keeper): the one
-// beside the server where there is one, so that it sees what the server sees and is lost
-// with it. A router asks it for each request that it would send there (Gate), and sends it
-// once that is granted. A server that names no limit is asked for by nobody.
+// For each server that announces a limit, one loader counts the requests of all routers
+// (Limiter). It is the loader next to the server if there is one, so that it has the same
+// view of the network as the server and fails together with it. A router requests a
+// permit from it for each request to that server (Gate) and sends the request once the
+// permit is granted. Requests to a server without a limit need no permit.
 //
-// Where the loader does not answer, each router sends its even part by itself.
+// If the loader does not answer, each router sends an equal share on its own.
 //
-// What a request may take is the smaller of two: a bucket that fills at the limit, and
-// what a window has room for. The window also holds what the server got before it named
-// its limit, when it was sent more than it takes; the bucket keeps what the window has
-// room for from coming at once.
+// A request needs both a token of a bucket that fills at the limit, and room in a sliding
+// window. The window also counts what the server received before it announced its limit,
+// when it was sent more than it takes. The bucket prevents everything that the window has
+// room for from being sent at once.
 //
-// # Who knows
+// # Propagation
 //
-// A router tells the loader what answers say, and the loader tells all routers what is
-// new, so that those stop too that have had no answer of the server since. A limit ends
-// with the life of the server that named it, or with an answer that names none.
+// A router reports to the loader the limits that answers contain, and the loader sends
+// changes to all routers, so that routers which have had no answer from the server since
+// also observe it. A limit ends with the life of the server that announced it, or with an
+// answer that contains none.
 //
 // The package has no I/O and no clock.
 package limit
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -10,66 +10,68 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file plays many routers before one server that names a limit, in virtual time, and
-// compares ways to keep it over all of them.
+// This file simulates many routers and one server that announces a limit, in virtual
+// time, and compares strategies to enforce it.
 
 const (
-	// wayDelay is the time of a message between a router and a loader, step that between
-	// two looks at everything.
-	wayDelay = 2 * time.Millisecond
-	step     = time.Millisecond
-	// namedAt is when the server names its limit, for playLasts in all; before it, it gets
-	// all that is asked.
-	namedAt   = 5 * time.Second
-	playLasts = 45 * time.Second
-	// boundFrom is when the users' bound binds, after the limit was named.
+	// messageDelay is the time of a message between a router and a loader, step the
+	// simulation step.
+	messageDelay = 2 * time.Millisecond
+	step         = time.Millisecond
+	// announcedAt is when the server announces its limit. Before it, the server receives
+	// all requests. runDuration is the length of a run.
+	announcedAt = 5 * time.Second
+	runDuration = 45 * time.Second
+	// boundFrom is when the guaranteed bound starts to apply, after the limit was
+	// announced.
 	boundFrom = 3 * time.Second
 )
 
 const start = core.Time(time.Hour)
 
-// way decides in a fleet of routers what goes to the server.
-type way interface {
-	// named tells a router of the limit: one that has just passed such an answer on. The
-	// way tells the others where it can.
-	named(now core.Time, router int, perSecond float64)
-	// knows tells whether a router knows of the limit.
+// strategy decides, for a fleet of routers, which requests are sent to the server.
+type strategy interface {
+	// announce reports the limit to a router that has just received an answer with it.
+	// The strategy informs the other routers if it can.
+	announce(now core.Time, router int, perSecond float64)
+	// knows reports whether a router knows the limit.
 	knows(router int) bool
-	// send tells whether a router sends a request now.
+	// send reports whether a router sends a request now.
 	send(now core.Time, router int) bool
-	// tick lets time pass.
+	// tick advances the time.
 	tick(now core.Time)
-	// unlimited is told of what is sent before any limit is known.
-	unlimited(now core.Time, router int)
+	// sentUnlimited records a request that was sent without a known limit.
+	sentUnlimited(now core.Time, router int)
 }
 
-// script is what happens to a fleet.
+// script describes a run.
 type script struct {
 	name    string
 	routers int
-	// perSecond is the limit, asked what callers ask of all routers together; of these a
-	// part comes to the first router.
-	perSecond, asked float64
-	first            float64
-	// lowered and raised change the limit each second from 10 s after it was named.
+	// perSecond is the limit and demand the callers' requests a second to all routers
+	// together. firstShare is the part of them that arrives at the first router.
+	perSecond, demand float64
+	firstShare        float64
+	// lowered and raised change the limit each second from 10 s after it was announced.
 	lowered, raised bool
-	// keeperGone is when the loader that counts ends, keeperBack when it is back.
-	keeperGone, keeperBack time.Duration
-	// cut is the share of routers that can't reach it while it is gone.
-	cut float64
+	// limiterDown is when the loader that counts goes down, limiterUp when it is up
+	// again.
+	limiterDown, limiterUp time.Duration
+	// unreachable is the share of routers that can't reach it while it is down.
+	unreachable float64
 }
 
-// outcome is what came of a script.
+// outcome is the result of a run.
 type outcome struct {
-	// all is the most within a window, told the most of routers that knew of the limit,
-	// both as parts of what is allowed.
-	all, told float64
-	// used is the part of the limit that was used once the window of the naming has
-	// passed, of what was asked or the limit, whichever is less.
+	// all is the maximum number of requests within a window, informed the maximum of
+	// those from routers that knew the limit. Both are relative to what is allowed.
+	all, informed float64
+	// used is the part of the limit that was used after the first two windows, relative
+	// to the demand or the limit, whichever is less.
 	used float64
 }
 
-// limitAt is the limit so long after it was named.
+// limitAt returns the limit this long after it was announced.
 func (s script) limitAt(since time.Duration) float64 {
 	change := float64(max(0, since-10*time.Second) / time.Second)
 	switch {
@@ -82,62 +84,62 @@
 	}
 }
 
-// allowed is the users' bound on a window that ends so long after the limit was named: by
-// the largest limit that it named within it.
+// allowed returns the guaranteed bound on the requests within a window that ends this
+// long after the limit was announced. It is based on the largest limit within the window.
 func (s script) allowed(since time.Duration) float64 {
 	return 1.5*max(s.limitAt(since), s.limitAt(since-Window))*Window.Seconds() + 5
 }
 
-func (s script) play(w way, seed uint64) outcome {
+func (s script) run(st strategy, seed uint64) outcome {
 	r := rand.New(rand.NewPCG(seed, 1))
-	var all, told counted
+	var all, informed windowCount
 	last := make([]float64, s.routers)
 	for i := range last {
-		last[i] = -1 // nothing was named there
+		last[i] = -1 // no limit announced there
 	}
 	asked, used := 0.0, 0.0
-	for t := time.Duration(0); t < playLasts; t += step {
+	for t := time.Duration(0); t < runDuration; t += step {
 		now := start.Add(t)
-		since := t - namedAt
+		since := t - announcedAt
 		limit := s.limitAt(since)
-		w.tick(now)
+		st.tick(now)
 		if since > 2*Window {
-			asked += min(s.asked, limit) * step.Seconds()
+			asked += min(s.demand, limit) * step.Seconds()
 		}
-		if r.Float64() >= s.asked*step.Seconds() {
+		if r.Float64() >= s.demand*step.Seconds() {
 			continue
 		}
 		router := s.pick(r)
-		knows := w.knows(router)
-		if knows && !w.send(now, router) {
+		knows := st.knows(router)
+		if knows && !st.send(now, router) {
 			continue
 		}
 		if !knows {
-			w.unlimited(now, router)
+			st.sentUnlimited(now, router)
 		}
 		if since >= 0 && last[router] != limit {
 			last[router] = limit
-			w.named(now, router, limit)
+			st.announce(now, router, limit)
 		}
 		binds := since >= boundFrom
 		all.add(now, binds, s.allowed(since))
 		if knows {
-			told.add(now, binds, s.allowed(since))
+			informed.add(now, binds, s.allowed(since))
 		}
 		if since > 2*Window {
 			used++
 		}
 	}
-	return outcome{all: all.worst, told: told.worst, used: used / max(1, asked)}
+	return outcome{all: all.worst, informed: informed.worst, used: used / max(1, asked)}
 }
 
-// counted is what was sent within the last window, and the worst of these.
-type counted struct {
+// windowCount tracks the requests within the last window, and the worst value.
+type windowCount struct {
 	sent  []core.Time
 	worst float64
 }
 
-func (c *counted) add(now core.Time, binds bool, allowed float64) {
+func (c *windowCount) add(now core.Time, binds bool, allowed float64) {
 	c.sent = append(c.sent, now)
 	c.sent = slices.DeleteFunc(c.sent, func(at core.Time) bool { return at <= now.Add(-Window) })
 	if binds {
@@ -146,70 +148,70 @@
 }
 
 func (s script) pick(r *rand.Rand) int {
-	if r.Float64() < s.first {
+	if r.Float64() < s.firstShare {
 		return 0
 	}
 	return r.IntN(s.routers)
 }
 
-// permits is the way that is kept: a loader grants each request.
+// permits is the strategy in use: a loader grants each request.
 type permits struct {
 	script
-	keeper *Limiter
-	gates  []*Gate
+	limiter *Limiter
+	gates   []*Gate
 }
 
-func newPermits(s script) way {
-	p := &permits{script: s, keeper: NewLimiter()}
+func newPermits(s script) strategy {
+	p := &permits{script: s, limiter: NewLimiter()}
 	for i := range s.routers {
 		p.gates = append(p.gates, NewGate(float64(core.Score(fmt.Sprint(i), "server"))/(1<<64)))
 	}
 	return p
 }
 
-// reaches tells whether a router reaches the loader that counts.
+// reaches reports whether a router reaches the loader that counts.
 func (p *permits) reaches(now core.Time, router int) bool {
 	t := now.Sub(start)
-	gone := p.keeperGone != 0 && t >= p.keeperGone && t < p.keeperBack
-	return !gone || p.cut != 0 && float64(router) >= p.cut*float64(p.routers)
+	down := p.limiterDown != 0 && t >= p.limiterDown && t < p.limiterUp
+	return !down || p.unreachable != 0 && float64(router) >= p.unreachable*float64(p.routers)
 }
 
 func (p *permits) tick(now core.Time) {
-	if p.keeperBack != 0 && p.cut == 0 && now.Sub(start) == p.keeperBack {
-		p.keeper = NewLimiter()
+	if p.limiterUp != 0 && p.unreachable == 0 && now.Sub(start) == p.limiterUp {
+		p.limiter = NewLimiter()
 	}
 }
 
-func (p *permits) unlimited(now core.Time, router int) { p.gates[router].RecordSent(now) }
+func (p *permits) sentUnlimited(now core.Time, router int) { p.gates[router].RecordSent(now) }
 
 func (p *permits) knows(router int) bool {
 	_, named := p.gates[router].Limit()
 	return named
 }
 
-func (p *permits) named(now core.Time, router int, perSecond float64) {
-	word := Announcement{Named: true, PerSecond: perSecond, Sent: now.Add(-10 * time.Millisecond), Received: now}
+func (p *permits) announce(now core.Time, router int, perSecond float64) {
+	announcement := Announcement{Named: true, PerSecond: perSecond, Sent: now.Add(-10 * time.Millisecond), Received: now}
 	if old, named := p.gates[router].Limit(); named && old != perSecond {
-		word.Sent = now
+		announcement.Sent = now
 	}
-	p.gates[router].Update(now, word)
+	p.gates[router].Update(now, announcement)
 	if !p.reaches(now, router) {
 		return
 	}
-	_, news := p.ask(now, router, 0, false)
-	if news == nil {
+	_, broadcast := p.ask(now, router, 0, false)
+	if broadcast == nil {
 		return
 	}
 	for i, g := range p.gates {
-		if p.reaches(now, i) && g.Update(now.Add(2*wayDelay), FromMessage(now.Add(2*wayDelay), news.Word)) {
-			p.ask(now.Add(3*wayDelay), i, 0, false)
+		if p.reaches(now, i) && g.Update(now.Add(2*messageDelay), FromMessage(now.Add(2*messageDelay), broadcast.Word)) {
+			p.ask(now.Add(3*messageDelay), i, 0, false)
 		}
 	}
 }
 
-func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, news *core.LimitTold) {
+func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, broadcast *core.LimitTold) {
 	g := p.gates[router]
-	return p.keeper.Handle(now, core.LimitAsk{
+	return p.limiter.Handle(now, core.LimitAsk{
 		Server: core.ServerLife{Instance: "server"}, Word: g.Message(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
 	})
 }
@@ -220,12 +222,12 @@
 	case g.Delay(now, false) > 0:
 		return false
 	case p.reaches(now, router) && g.NeedsPermit(now):
-		answer, _ := p.ask(now.Add(wayDelay), router, 1, false)
+		answer, _ := p.ask(now.Add(messageDelay), router, 1, false)
 		if !answer.Granted {
-			g.RecordRefusal(now.Add(2*wayDelay), answer.Room, false)
+			g.RecordRefusal(now.Add(2*messageDelay), answer.Room, false)
 		}
 		return answer.Granted
-	case g.NeedsPermit(now) && p.keeperGone != 0 && p.cut != 0:
+	case g.NeedsPermit(now) && p.limiterDown != 0 && p.unreachable != 0:
 		g.RecordTimeout(now.Add(PermitTimeout))
 	}
 	if g.TakeTurn(now, p.routers) {
@@ -235,27 +237,27 @@
 	return false
 }
 
-// even is the way in which each router goes by its even part and nobody counts; all are
-// told at once.
-type even struct{ permits }
+// evenShares is the strategy in which each router sends its equal share and nobody
+// counts. All routers learn the limit at once.
+type evenShares struct{ permits }
 
-func newEven(s script) way {
-	e := &even{*newPermits(s).(*permits)}
-	e.keeperGone, e.keeperBack, e.cut = 1, time.Hour, 0
+func newEvenShares(s script) strategy {
+	e := &evenShares{*newPermits(s).(*permits)}
+	e.limiterDown, e.limiterUp, e.unreachable = 1, time.Hour, 0
 	return e
 }
 
-func (e *even) named(now core.Time, _ int, perSecond float64) {
+func (e *evenShares) announce(now core.Time, _ int, perSecond float64) {
 	for i := range e.gates {
-		e.permits.named(now, i, perSecond)
+		e.permits.announce(now, i, perSecond)
 	}
 }
 
-// scripts are those that limits are compared by.
+// scripts returns the runs that strategies are compared by.
 func scripts() []script {
 	var all []script
 	for _, routers := range []int{4, 28, 68, 470} {
-		s := script{routers: routers, perSecond: 2.6, asked: 8}
+		s := script{routers: routers, perSecond: 2.6, demand: 8}
 		add := func(name string, change func(*script)) {
 			one := s
 			one.name = fmt.Sprintf("%d routers, %s", routers, name)
@@ -263,55 +265,55 @@
 			all = append(all, one)
 		}
 		add("three times the limit", func(*script) {})
-		add("most at one router", func(s *script) { s.first = 0.8 })
-		add("20 a second", func(s *script) { s.perSecond, s.asked = 20, 60 })
+		add("most at one router", func(s *script) { s.firstShare = 0.8 })
+		add("20 a second", func(s *script) { s.perSecond, s.demand = 20, 60 })
 		add("0.1 a second", func(s *script) { s.perSecond = 0.1 })
 		add("none", func(s *script) { s.perSecond = 0 })
-		add("more than is asked", func(s *script) { s.perSecond = 30 })
-		add("lowered each second", func(s *script) { s.perSecond, s.asked, s.lowered = 20, 60, true })
-		add("raised each second", func(s *script) { s.asked, s.raised = 60, true })
-		add("no loader left", func(s *script) { s.keeperGone, s.keeperBack = 1, time.Hour })
-		add("loader killed for 3 s", func(s *script) { s.keeperGone, s.keeperBack = 15*time.Second, 18*time.Second })
-		add("half cut from the loader", func(s *script) { s.keeperGone, s.keeperBack, s.cut = 12*time.Second, 30*time.Second, 0.5 })
+		add("above the demand", func(s *script) { s.perSecond = 30 })
+		add("lowered each second", func(s *script) { s.perSecond, s.demand, s.lowered = 20, 60, true })
+		add("raised each second", func(s *script) { s.demand, s.raised = 60, true })
+		add("no loader left", func(s *script) { s.limiterDown, s.limiterUp = 1, time.Hour })
+		add("loader killed for 3 s", func(s *script) { s.limiterDown, s.limiterUp = 15*time.Second, 18*time.Second })
+		add("half of the routers cut off from the loader", func(s *script) { s.limiterDown, s.limiterUp, s.unreachable = 12*time.Second, 30*time.Second, 0.5 })
 	}
 	return all
 }
 
-// A server's limit must hold over all routers that know of it, whatever their number, the
-// limit and who is gone. Where a loader counts, all are told at once, and what the server
-// takes must not be held back from callers. Where none is left, each router learns of the
-// limit by an answer of its own.
+// A server's limit must hold over all routers that know it, for any number of routers,
+// any limit and any failure of the loader. While a loader counts, all routers must be
+// informed at once and most of the limit must be usable. Without a loader, each router
+// learns the limit only by an answer of its own.
 func TestPermitsKeepLimits(t *testing.T) {
 	for _, s := range scripts() {
 		t.Run(s.name, func(t *testing.T) {
-			got := s.play(newPermits(s), 1)
-			t.Logf("all %.2f, told %.2f, used %.2f", got.all, got.told, got.used)
-			if got.told > 1 {
-				t.Errorf("the server got %.2f of what is allowed", got.told)
+			got := s.run(newPermits(s), 1)
+			t.Logf("all %.2f, informed %.2f, used %.2f", got.all, got.informed, got.used)
+			if got.informed > 1 {
+				t.Errorf("the server got %.2f of what is allowed", got.informed)
 			}
-			if s.keeperGone != 1 && got.all > 1 {
-				t.Errorf("the server got %.2f of what is allowed, of all routers", got.all)
+			if s.limiterDown != 1 && got.all > 1 {
+				t.Errorf("the server got %.2f of what is allowed, from all routers", got.all)
 			}
-			counted := s.keeperGone == 0
+			counted := s.limiterDown == 0
 			if counted && s.perSecond >= 1 && got.used < 0.9 {
-				t.Errorf("%.2f of what the server takes was used", got.used)
+				t.Errorf("%.2f of the limit was used", got.used)
 			}
 		})
 	}
 }
 
-// The ways compared, with -v as a table. The one that is kept must hold back the least,
-// while a loader counts, of those that hold the limit. Even parts, which it goes by without
-// a loader, must hold it too.
-func TestWays(t *testing.T) {
+// Compares the strategies, with -v as a table. While a loader counts, permits must use no
+// less of the limit than equal shares. Equal shares, the fallback without a loader, must
+// not exceed the limit either.
+func TestPermitsUseAsMuchAsEvenShares(t *testing.T) {
 	for _, s := range scripts() {
-		even, permits := s.play(newEven(s), 1), s.play(newPermits(s), 1)
+		even, permits := s.run(newEvenShares(s), 1), s.run(newPermits(s), 1)
 		t.Logf("| %s | %.2f, %.2f | %.2f, %.2f |", s.name, even.all, even.used, permits.all, permits.used)
-		if even.told > 1 {
-			t.Errorf("%s: by even parts the server got %.2f of what is allowed", s.name, even.told)
+		if even.informed > 1 {
+			t.Errorf("%s: with equal shares the server got %.2f of what is allowed", s.name, even.informed)
 		}
-		if s.keeperGone == 0 && permits.used < min(1, even.used)-0.05 {
-			t.Errorf("%s: permits use %.2f, even parts %.2f", s.name, permits.used, even.used)
+		if s.limiterDown == 0 && permits.used < min(1, even.used)-0.05 {
+			t.Errorf("%s: permits use %.2f, equal shares %.2f", s.name, permits.used, even.used)
 		}
 	}
 }
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -8,78 +8,83 @@
 )
 
 const (
-	// Patience is how long a router waits for the loader's answer: some ways there and
-	// back, and a turn of a busy process.
+	// PermitTimeout is how long a router waits for the loader's answer: a few round
+	// trips and the scheduling delay of a busy process.
 	PermitTimeout = 100 * time.Millisecond
-	// silentFor is how long a router decides by itself after a question that was not
-	// answered, before it asks again.
-	silentFor = time.Second
-	// turnLasts is how long a turn lasts at most. What all take within a window is what
-	// the turns of a window and this make.
-	turnLasts = 500 * time.Millisecond
-	// leastPeriod bounds the time between two turns: that of a huge limit rounds to 0.
-	leastPeriod = time.Microsecond
-	// confirmAfter is how long a limit stands that no answer has confirmed before a request
-	// that another server could serve goes there to see.
-	confirmAfter = 10 * time.Second
-	// gateSlots is how finely a router counts what it sends to a server.
+	// localDuration is how long a router decides on its own after a request for a permit
+	// that was not answered, before it asks the loader again.
+	localDuration = time.Second
+	// turnDuration is the maximum duration of a turn. The requests of all routers within
+	// a window are bounded by the turns that overlap the window and this duration.
+	turnDuration = 500 * time.Millisecond
+	// minPeriod is the minimum time between two turns: for a huge limit the computed
+	// time rounds to 0.
+	minPeriod = time.Microsecond
+	// confirmInterval is how long a limit remains without confirmation by an answer
+	// before a request that another server could serve is sent there to check it.
+	confirmInterval = 10 * time.Second
+	// gateSlots is the number of slots in which a router counts what it sends to a
+	// server.
 	gateSlots = 8
 )
 
-// Gate decides in one router whether requests may go to one server. The zero value is not
-// usable; see NewGate.
+// Gate decides, in one router, whether requests may be sent to one server. The zero value
+// is not usable; see NewGate.
 type Gate struct {
-	word Announcement
-	// since is when the limit that holds was first heard of.
-	since core.Time
-	// uncounted is what was sent without asking within the last window, and was not told.
+	announcement Announcement
+	// knownSince is when the current limit was first received.
+	knownSince core.Time
+	// uncounted counts the requests within the last window that were sent without a
+	// permit and not yet reported to the loader.
 	uncounted window.Window
-	// room is from when the loader may grant a request, spareRoom one that another server
-	// could serve.
-	room, spareRoom core.Time
-	// askedAt is when a request was last to go there.
-	askedAt core.Time
-	// refused are callers who were refused and come back.
-	refused line
-	// silentUntil is until when this router decides by itself.
-	silentUntil core.Time
-	// phase is when in each period this router's turn begins, from 0 to 1, while all
-	// decide by themselves; turnTaken is when the last turn began that was used.
-	phase     float64
-	turnTaken core.Time
+	// permitAt is the earliest time at which the loader may grant a request,
+	// sparePermitAt that for a request that another server could serve.
+	permitAt, sparePermitAt core.Time
+	// intentAt is when a request was last about to be sent there.
+	intentAt core.Time
+	// retries schedules the retries of refused callers.
+	retries retrySchedule
+	// localUntil is the time until which this router decides on its own.
+	localUntil core.Time
+	// phase is the offset of this router's turn within each period, from 0 to 1, while
+	// all routers decide on their own. lastTurn is the start of the last turn that was
+	// used.
+	phase    float64
+	lastTurn core.Time
 }
 
-// NewGate returns the gate of a server that has named no limit. The phase, from 0 to 1,
-// is another at each router: where all decide by themselves, their turns come at
-// different times.
+// NewGate returns the gate of a server without a limit. The phase, from 0 to 1, differs
+// between routers: when all decide on their own, their turns come at different times.
 func NewGate(phase float64) *Gate {
 	return &Gate{uncounted: window.New(Window, gateSlots), phase: phase}
 }
 
-// Limit is the limit that holds, in requests a second; false if there is none.
-func (g *Gate) Limit() (perSecond float64, named bool) { return g.word.PerSecond, g.word.Named }
+// Limit returns the limit in force, in requests a second, and whether there is one.
+func (g *Gate) Limit() (perSecond float64, named bool) {
+	return g.announcement.PerSecond, g.announcement.Named
+}
 
-// KnownSince is when this router first heard of the limit that holds.
-func (g *Gate) KnownSince() core.Time { return g.since }
+// KnownSince returns when this router first received the current limit.
+func (g *Gate) KnownSince() core.Time { return g.knownSince }
 
-// Hear takes in a word on the limit, and tells whether it changes anything.
-func (g *Gate) Update(now core.Time, word Announcement) (changed bool) {
-	before := g.word.Named
-	g.word, changed = g.word.Update(word)
+// Update processes an announcement and reports whether it changes anything.
+func (g *Gate) Update(now core.Time, next Announcement) (changed bool) {
+	before := g.announcement.Named
+	g.announcement, changed = g.announcement.Update(next)
 	if changed && !before {
-		g.since = now
+		g.knownSince = now
 	}
 	if changed {
-		g.room, g.spareRoom = now, now
+		g.permitAt, g.sparePermitAt = now, now
 	}
 	return changed
 }
 
-// Told is what is known of the limit, as messages have it.
-func (g *Gate) Message(now core.Time) core.LimitWord { return g.word.told(now) }
+// Message returns the last announcement as a message.
+func (g *Gate) Message(now core.Time) core.LimitWord { return g.announcement.message(now) }
 
-// TakeUncounted returns what was sent without asking, to be told to the loader that
-// counts; nil if there is nothing.
+// TakeUncounted returns and resets the counts of requests sent without a permit, to be
+// reported to the loader that counts; nil if there are none.
 func (g *Gate) TakeUncounted(now core.Time) []float64 {
 	if g.uncounted.Total(now) == 0 {
 		return nil
@@ -89,91 +94,94 @@
 	return parts
 }
 
-// Sent notes that a request was sent without asking: the server named no limit, or no
-// loader answered.
+// RecordSent records a request that was sent without a permit: the server had announced
+// no limit, or no loader answered.
 func (g *Gate) RecordSent(now core.Time) { g.uncounted.Add(now, 1) }
 
-// RoomIn is how long there is no room at the server, 0 if there may be: for any request,
-// or for one that another server could serve.
+// Delay returns how long no request can be sent to the server, 0 if one may be possible
+// now. With spare set it is for a request that another server could serve.
 func (g *Gate) Delay(now core.Time, spare bool) time.Duration {
-	if !g.word.Named {
+	if !g.announcement.Named {
 		return 0
 	}
-	at := g.room
+	at := g.permitAt
 	if spare {
-		at = max(at, g.spareRoom)
+		at = max(at, g.sparePermitAt)
 	}
 	return max(0, at.Sub(now))
 }
 
-// ReturnIn is when the next caller who is refused for want of room should come back.
+// RetryAfter returns after what time the next caller that is refused because of the limit
+// should retry.
 func (g *Gate) RetryAfter(now core.Time) time.Duration {
-	return g.refused.after(now, g.Delay(now, false), pauseOf(g.word.PerSecond))
+	return g.retries.next(now, g.Delay(now, false), permitInterval(g.announcement.PerSecond))
 }
 
-// Asked notes that a request is to go to the server, once it is permitted.
-func (g *Gate) RecordIntent(now core.Time) { g.askedAt = now }
+// RecordIntent records that a request is to be sent to the server once it is permitted.
+func (g *Gate) RecordIntent(now core.Time) { g.intentAt = now }
 
-// Unconfirmed tells that the limit is to be looked into, and may be.
+// Unconfirmed reports whether the limit should be checked by a request, and may be.
 //
-// It guards against a limit that is over and holds for good: where other servers are as
-// good, nothing is sent there and nobody hears of its end.
+// It guards against a limit that stays in force after the server has dropped it: if other
+// servers are as good, no request is sent there and no answer shows its end.
 func (g *Gate) Unconfirmed(now core.Time) bool {
-	return g.word.Named && now.Sub(max(g.word.Received, g.askedAt)) >= confirmAfter && g.Delay(now, true) == 0
+	return g.announcement.Named && now.Sub(max(g.announcement.Received, g.intentAt)) >= confirmInterval && g.Delay(now, true) == 0
 }
 
-// Asks tells whether requests need the loader's grant: it is there and has not been
-// silent lately.
-func (g *Gate) NeedsPermit(now core.Time) bool { return now >= g.silentUntil }
+// NeedsPermit reports whether requests need a permit of the loader. They don't for a
+// while after it has failed to answer.
+func (g *Gate) NeedsPermit(now core.Time) bool { return now >= g.localUntil }
 
-// Refused takes in that the loader has room later.
-func (g *Gate) RecordRefusal(now core.Time, room time.Duration, spare bool) {
+// RecordRefusal records after what delay the loader may grant a request.
+func (g *Gate) RecordRefusal(now core.Time, delay time.Duration, spare bool) {
 	if spare {
-		g.spareRoom = now.Add(room)
+		g.sparePermitAt = now.Add(delay)
 		return
 	}
-	g.room = now.Add(room)
+	g.permitAt = now.Add(delay)
 }
 
-// LoaderBack takes in that the loader that counts is connected again: it may have room
-// before this router's next turn.
-func (g *Gate) LoaderReconnected(now core.Time) { g.room, g.spareRoom, g.silentUntil = now, now, now }
+// LoaderReconnected records that the loader that counts is connected again: it may grant
+// requests before this router's next turn.
+func (g *Gate) LoaderReconnected(now core.Time) {
+	g.permitAt, g.sparePermitAt, g.localUntil = now, now, now
+}
 
-// Unanswered takes in that the loader did not answer a question.
-func (g *Gate) RecordTimeout(now core.Time) { g.silentUntil = now.Add(silentFor) }
+// RecordTimeout records that the loader did not answer a request for a permit.
+func (g *Gate) RecordTimeout(now core.Time) { g.localUntil = now.Add(localDuration) }
 
-// TakeAlone decides by turns: of so many routers each has one as often as makes the limit
-// for all together, and may send one request while it lasts.
+// TakeTurn decides without the loader, by turns: each of the given number of routers has
+// turns at its share of the limit, and may send one request during each.
 //
-// It guards against a limit that nobody keeps: the loader that counts is gone, frozen or
-// out of reach. What turns are not used for is lost, so that routers on which a burst falls
-// at once, after a quiet time, do not send it all there. Where a few routers go by turns
-// while the loader grants all of the limit to the others, what they take lies within the
-// half that servers bear beyond their limits.
+// It enforces the limit while the loader that counts is down, frozen or unreachable.
+// Unused turns expire, so that routers which all receive a burst after a quiet period do
+// not send it all at once. If a few routers use turns while the loader grants the whole
+// limit to the others, the excess stays within the half that servers tolerate beyond
+// their limits.
 func (g *Gate) TakeTurn(now core.Time, routers int) bool {
-	perSecond := max(MinPerSecond, g.word.PerSecond) / float64(max(1, routers))
-	period := max(leastPeriod, time.Duration(float64(time.Second)/perSecond))
+	perSecond := max(MinPerSecond, g.announcement.PerSecond) / float64(max(1, routers))
+	period := max(minPeriod, time.Duration(float64(time.Second)/perSecond))
 	turn := now - core.Time(time.Duration(now)+period-time.Duration(g.phase*float64(period)))%core.Time(period)
 	next := turn.Add(period)
-	most := perSecond*Window.Seconds() + 1
+	maxSent := perSecond*Window.Seconds() + 1
 	switch {
-	case turn <= g.turnTaken || now.Sub(turn) > turnLasts:
-		g.noTurnUntil(now, next)
+	case turn <= g.lastTurn || now.Sub(turn) > turnDuration:
+		g.blockUntil(now, next)
 		return false
-	case g.uncounted.Total(now)+1 > most:
-		g.noTurnUntil(now, now.Add(g.uncounted.RoomIn(now, max(0, most-1))))
+	case g.uncounted.Total(now)+1 > maxSent:
+		g.blockUntil(now, now.Add(g.uncounted.RoomIn(now, max(0, maxSent-1))))
 		return false
 	default:
-		g.turnTaken = turn
+		g.lastTurn = turn
 		return true
 	}
 }
 
-// noTurnUntil notes that there is no room before a time, but for what the loader may grant
-// once it is asked again.
-func (g *Gate) noTurnUntil(now, at core.Time) {
-	g.room = at
-	if g.silentUntil > now {
-		g.room = min(at, g.silentUntil)
+// blockUntil records that no request can be sent before a time, except that the loader
+// may grant one once it is asked again.
+func (g *Gate) blockUntil(now, at core.Time) {
+	g.permitAt = at
+	if g.localUntil > now {
+		g.permitAt = min(at, g.localUntil)
 	}
 }
--- /dev/null
+++ b/internal/limit/limiter.go
@@ -0,0 +1,171 @@
+package limit
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"nutmeglane.example/nutmeglane/internal/core"
+)
+
+const (
+	// spareShare is the part of a bucket's capacity that is reserved for requests which
+	// no other server can serve.
+	spareShare = 0.5
+	// staleAfter is how long a server is kept of which no router reports anything.
+	staleAfter = time.Minute
+)
+
+// Limiter counts, in a loader, the requests of all routers to the servers whose limits it
+// enforces. The zero value is not usable; see NewLimiter.
+type Limiter struct{ servers map[string]*limitedServer }
+
+// limitedServer is a server whose limit is enforced.
+type limitedServer struct {
+	life         core.ServerLife
+	announcement Announcement
+	bucket       bucket
+	// retries schedules the retries of routers that were refused.
+	retries retrySchedule
+	// updatedAt is when a router last reported anything about the server.
+	updatedAt core.Time
+}
+
+// NewLimiter returns a limiter without servers.
+func NewLimiter() *Limiter { return &Limiter{servers: map[string]*limitedServer{}} }
+
+// Handle processes a router's report or request. It returns the answer if a permit was
+// requested, and the message to all other routers if the limit has changed.
+func (l *Limiter) Handle(now core.Time, ask core.LimitAsk) (answer, broadcast *core.LimitTold) {
+	s, current := l.server(now, ask.Server)
+	if !current {
+		return refuse(ask), nil
+	}
+	s.updatedAt = now
+	before := s.announcement.Named
+	changed := s.update(now, ask.Word)
+	s.bucket.sent.AddParts(now, ask.Uncounted)
+	if changed && (before || s.announcement.Named) {
+		broadcast = s.message(now)
+	}
+	if ask.Ask != 0 {
+		answer = s.answer(now, ask)
+	}
+	return answer, broadcast
+}
+
+// server returns the state of a server's current life, and false for a message on an
+// earlier life.
+func (l *Limiter) server(now core.Time, life core.ServerLife) (*limitedServer, bool) {
+	s := l.servers[life.Instance]
+	if s != nil && life.Born != 0 && life.Born < s.life.Born {
+		return nil, false
+	}
+	// A limit ends with the life of the server that announced it.
+	if s == nil || life.Born > s.life.Born {
+		s = &limitedServer{life: life, bucket: newBucket(now)}
+		l.servers[life.Instance] = s
+	}
+	return s, true
+}
+
+// refuse answers a request for a permit that concerns an earlier life of the server.
+func refuse(ask core.LimitAsk) *core.LimitTold {
+	if ask.Ask == 0 {
+		return nil
+	}
+	return &core.LimitTold{Server: ask.Server, Ask: ask.Ask, Spare: ask.Spare, Room: maxRetryDelay}
+}
+
+func (s *limitedServer) update(now core.Time, message core.LimitWord) (changed bool) {
+	s.announcement, changed = s.announcement.Update(FromMessage(now, message))
+	if changed && s.announcement.Named {
+		s.bucket.setRate(now, max(MinPerSecond, s.announcement.PerSecond))
+	}
+	return changed
+}
+
+func (s *limitedServer) answer(now core.Time, ask core.LimitAsk) *core.LimitTold {
+	reply := s.message(now)
+	reply.Ask, reply.Spare = ask.Ask, ask.Spare
+	reserve := 0.0
+	if ask.Spare {
+		reserve = spareShare * (s.bucket.capacity() - 1)
+	}
+	if !s.announcement.Named || s.bucket.take(now, reserve) {
+		reply.Granted = true
+		return reply
+	}
+	reply.Room = s.bucket.delay(now, reserve)
+	if !ask.Spare {
+		reply.Room = s.retries.next(now, reply.Room, permitInterval(s.bucket.rate))
+	}
+	return reply
+}
+
+// message returns the message that announces the server's limit to routers.
+func (s *limitedServer) message(now core.Time) *core.LimitTold {
+	return &core.LimitTold{Server: s.life, Word: s.announcement.message(now)}
+}
+
+// Active returns the limits in force, for a router that has just connected.
+func (l *Limiter) Active(now core.Time) []core.LimitTold {
+	var all []core.LimitTold
+	for _, instance := range slices.Sorted(maps.Keys(l.servers)) {
+		if s := l.servers[instance]; s.announcement.Named {
+			all = append(all, *s.message(now))
+		}
+	}
+	return all
+}
+
+// State is the dump of a server whose limit is enforced.
+type State struct {
+	Server core.ServerLife
+	// PerSecond is the limit, nil if there is none any more.
+	PerSecond *float64
+	// Tokens are the requests that may be granted at once, Sent those within the window.
+	Tokens, Sent float64
+}
+
+// Dump returns the state of all servers, sorted by instance.
+func (l *Limiter) Dump(now core.Time) []State {
+	var states []State
+	for _, instance := range slices.Sorted(maps.Keys(l.servers)) {
+		s := l.servers[instance]
+		state := State{Server: s.life, Tokens: s.bucket.tokens, Sent: s.bucket.sent.Total(now)}
+		if s.announcement.Named {
+			state.PerSecond = &s.announcement.PerSecond
+		}
+		states = append(states, state)
+	}
+	return states
+}
+
+// RemoveStale removes servers of which no router has reported anything for staleAfter. A
+// router that knows a limit there reports it again with its next request.
+func (l *Limiter) RemoveStale(now core.Time) {
+	maps.DeleteFunc(l.servers, func(_ string, s *limitedServer) bool { return now.Sub(s.updatedAt) > staleAfter })
+}
+
+// FromMessage converts a message to an Announcement in this process's time.
+func FromMessage(now core.Time, message core.LimitWord) Announcement {
+	if message.HeardAgo == 0 {
+		return Announcement{} // none received yet; see Announcement.message
+	}
+	return Announcement{
+		Named: message.Named, PerSecond: message.PerSecond,
+		Sent: now.Add(-message.SentAgo), Received: now.Add(-message.HeardAgo),
+	}
+}
+
+// message converts the announcement to a message. HeardAgo is 0 only if none was
+// received.
+func (a Announcement) message(now core.Time) core.LimitWord {
+	if !a.received() {
+		return core.LimitWord{}
+	}
+	return core.LimitWord{
+		Named: a.Named, PerSecond: a.PerSecond, SentAgo: now.Sub(a.Sent), HeardAgo: max(1, now.Sub(a.Received)),
+	}
+}
--- /dev/null
+++ b/internal/limit/retry.go
@@ -0,0 +1,33 @@
+package limit
+
+import (
+	"time"
+
+	"nutmeglane.example/nutmeglane/internal/core"
+)
+
+// maxRetryDelay is the maximum retry delay of a refused request: by then the window has
+// passed.
+const maxRetryDelay = Window
+
+// retrySchedule assigns retry times to refused requests, one permit apart.
+//
+// It guards against callers or routers that retry at the same time: 28 routers that were
+// all given the time of the next permit would ask together, and all but one would be
+// refused each time.
+type retrySchedule struct{ last core.Time }
+
+// next returns the delay of the next retry, where the first permit is available after
+// delay and further ones at each interval.
+func (r *retrySchedule) next(now core.Time, delay, interval time.Duration) time.Duration {
+	r.last = max(now.Add(delay), r.last.Add(interval))
+	if r.last.Sub(now) > max(delay, maxRetryDelay) {
+		r.last = now.Add(delay)
+	}
+	return r.last.Sub(now)
+}
+
+// permitInterval returns the time between two permits at a rate.
+func permitInterval(perSecond float64) time.Duration {
+	return time.Duration(float64(time.Second) / max(MinPerSecond, perSecond))
+}
