--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	return k.store.KeepNote(ctx, note.Name, value, poison.Keep)
+	return k.store.KeepNote(ctx, note.Name, value, poison.Retention)
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -176,7 +176,7 @@
 		l.forwardToPart(e.Router, e.Spread.Part, e.Spread.Parts, e.Spread.Config)
 		return l.out
 	case PoisonNewsReceived:
-		l.ledger.Hear(now, e.News)
+		l.ledger.AddNews(now, e.News)
 		l.forwardToOthers(e.Router, e.News)
 		return l.out
 	case QuotaRequested:
@@ -259,7 +259,7 @@
 // requests that others reported. A router that has just started would otherwise let such
 // a request end three more servers before it knew the request.
 func (l *Loader) sendPoisonEnds(router core.HostID) {
-	l.ledger.Forget(l.now)
+	l.ledger.Expire(l.now)
 	if ends := l.ledger.All(l.now); len(ends) > 0 {
 		l.emit(Forward{Routers: []core.HostID{router}, Message: core.PoisonNews{Ends: ends}})
 	}
--- a/internal/poison/forget.go
+++ b/internal/poison/forget.go
@@ -12,7 +12,7 @@
 // too much.
 
 // Seen notes that a request has arrived again.
-func (l *Ledger) Seen(now core.Time, f core.Fingerprint) {
+func (l *Ledger) RecordArrival(now core.Time, f core.Fingerprint) {
 	if r := l.requests[f]; r != nil {
 		r.seen = now
 	}
@@ -56,13 +56,13 @@
 }
 
 // Forget drops what has not been seen for Keep.
-func (l *Ledger) Forget(now core.Time) {
+func (l *Ledger) Expire(now core.Time) {
 	for _, f := range slices.Sorted(maps.Keys(l.requests)) {
-		if now.Sub(l.requests[f].seen) >= Keep {
+		if now.Sub(l.requests[f].seen) >= Retention {
 			l.drop(f)
 		}
 	}
-	maps.DeleteFunc(l.cleared, func(_ core.Fingerprint, c clearance) bool { return now.Sub(c.at) >= Keep })
+	maps.DeleteFunc(l.cleared, func(_ core.Fingerprint, c clearance) bool { return now.Sub(c.at) >= Retention })
 }
 
 // bound drops the least telling requests beyond maxRequests.
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -41,7 +41,7 @@
 	// Keep is how long after its last end or arrival a request is remembered. A caller
 	// that has stopped coming back for minutes has given up, and the server's software
 	// may have been mended meanwhile.
-	Keep = 10 * time.Minute
+	Retention = 10 * time.Minute
 	// maxRequests bounds the ledger, at some 200 bytes each. Those under which the
 	// fewest servers ended yield first. An end has at most what a server runs, so that
 	// this holds the requests of the last 30 ends or more.
@@ -122,7 +122,7 @@
 
 // Hear takes in what another process told. It returns the requests that are poison
 // from now on and were not before.
-func (l *Ledger) Hear(now core.Time, news core.PoisonNews) []core.Fingerprint {
+func (l *Ledger) AddNews(now core.Time, news core.PoisonNews) []core.Fingerprint {
 	var poison []core.Fingerprint
 	for _, e := range news.Ends {
 		poison = append(poison, l.add(now, e)...)
@@ -193,7 +193,7 @@
 }
 
 // Own tells whether this process noticed one of the ends under a request.
-func (l *Ledger) Own(f core.Fingerprint) bool {
+func (l *Ledger) Local(f core.Fingerprint) bool {
 	r := l.requests[f]
 	return r != nil && r.own
 }
--- a/internal/poison/poison_test.go
+++ b/internal/poison/poison_test.go
@@ -163,13 +163,13 @@
 func TestForgottenOnceItStaysAway(t *testing.T) {
 	l := New()
 	tell(l, died("a", 1), died("b", 1), died("c", 1, 2))
-	l.Seen(start.Add(Keep-time.Second), 1)
-	l.Forget(start.Add(Keep))
+	l.RecordArrival(start.Add(Retention-time.Second), 1)
+	l.Expire(start.Add(Retention))
 	checkPoison(t, l, 1, true)
 	if l.Ends(2) != 0 {
 		t.Error("request 2, which did not come back, is remembered")
 	}
-	l.Forget(start.Add(2*Keep - time.Second))
+	l.Expire(start.Add(2*Retention - time.Second))
 	if len(l.requests)+len(l.ends) != 0 {
 		t.Errorf("%d requests and %d ends are left", len(l.requests), len(l.ends))
 	}
--- a/internal/router/poison.go
+++ b/internal/router/poison.go
@@ -41,7 +41,7 @@
 // poisonHeard takes news in. A server that another router knows to have ended has ended
 // for this one too: servers without a loader show it here some seconds later only.
 func (r *Router) poisonHeard(news core.PoisonNews) {
-	found := r.ledger.Hear(r.now, news)
+	found := r.ledger.AddNews(r.now, news)
 	for _, end := range news.Ends {
 		b := r.backends[end.Life.Instance]
 		if b != nil && (fleet.Incarnation{Instance: end.Life.Instance, Born: end.Life.Born}).Compare(b.Incarnation) == 0 {
@@ -57,7 +57,7 @@
 	for _, f := range found {
 		r.emit(Count{core.Count{Name: metricPoison, Add: 1}})
 		r.log(Belief, "request is kept from servers, as they end under it", r.evidenceAttrs(f)...)
-		if r.ledger.Own(f) {
+		if r.ledger.Local(f) {
 			r.publish(f)
 		}
 		for _, key := range slices.Sorted(maps.Keys(r.requests)) {
@@ -86,11 +86,11 @@
 // caller asks for has run before.
 func (r *Router) refusePoison(req *request) {
 	f := req.fingerprint
-	r.ledger.Seen(r.now, f)
+	r.ledger.RecordArrival(r.now, f)
 	r.log(OneRequest, "request not sent, as servers ended under it", slices.Concat(req.attrs(), r.evidenceAttrs(f))...)
 	if at, ok := r.published[f]; !ok {
 		r.published[f] = r.now
-	} else if r.now.Sub(at) > poison.Keep/2 {
+	} else if r.now.Sub(at) > poison.Retention/2 {
 		r.publish(f)
 	}
 	c := code.PoisonRequest
@@ -113,7 +113,7 @@
 	}
 	return []slog.Attr{
 		slog.String("fingerprint", f.String()), slog.Any("ended", servers), slog.String("first_ago", first.String()),
-		slog.String("last_ago", last.String()), slog.Bool("own", r.ledger.Own(f)),
+		slog.String("last_ago", last.String()), slog.Bool("own", r.ledger.Local(f)),
 	}
 }
 
@@ -152,6 +152,6 @@
 }
 
 func (r *Router) forgetPoison() {
-	r.ledger.Forget(r.now)
+	r.ledger.Expire(r.now)
 	maps.DeleteFunc(r.published, func(f core.Fingerprint, _ core.Time) bool { return r.ledger.Ends(f) == 0 })
 }
--- a/internal/router/poison_test.go
+++ b/internal/router/poison_test.go
@@ -252,7 +252,7 @@
 		t.Fatalf("published %+v", w.published)
 	}
 	w.callAs(poisonWork, "quick", prompt("m1"))
-	w.now = w.now.Add(poison.Keep/2 + time.Second)
+	w.now = w.now.Add(poison.Retention/2 + time.Second)
 	w.callAs(poisonWork, "quick", prompt("m1"))
 	if len(w.published) != 2 {
 		t.Errorf("published %d times, want again after half of the time", len(w.published))
--- a/internal/router/restored.go
+++ b/internal/router/restored.go
@@ -24,7 +24,7 @@
 		slog.Int("backends", len(r.backends)))
 	r.storeBack = r.now
 	for _, f := range slices.Sorted(maps.Keys(r.published)) {
-		if r.ledger.Own(f) {
+		if r.ledger.Local(f) {
 			r.publish(f)
 		}
 	}
