--- a/internal/poison/forget.go
+++ b/internal/poison/expire.go
@@ -8,18 +8,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file forgets: what was taken back, what has not been seen for long, and what is
-// too much.
+// This file removes data: what was cleared, what has not been seen for long, and what
+// exceeds the size limit.
 
-// Seen notes that a request has arrived again.
+// RecordArrival records that a request has arrived again.
 func (l *Ledger) RecordArrival(now core.Time, f core.Fingerprint) {
 	if r := l.requests[f]; r != nil {
 		r.seen = now
 	}
 }
 
-// Clear takes back what is held against a request that is known to be well. It reports
-// whether anything was.
+// Clear removes the ends recorded for a request that is known to be harmless. It reports
+// whether there were any.
 func (l *Ledger) Clear(now core.Time, f core.Fingerprint) bool {
 	r := l.requests[f]
 	if r == nil {
@@ -34,7 +34,7 @@
 	return true
 }
 
-// drop forgets a request.
+// drop removes a request.
 func (l *Ledger) drop(f core.Fingerprint) {
 	r := l.requests[f]
 	delete(l.requests, f)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Forget drops what has not been seen for Keep.
+// Expire removes what has not been seen for Retention.
 func (l *Ledger) Expire(now core.Time) {
 	for _, f := range slices.Sorted(maps.Keys(l.requests)) {
 		if now.Sub(l.requests[f].seen) >= Retention {
@@ -65,12 +65,12 @@
 	maps.DeleteFunc(l.cleared, func(_ core.Fingerprint, c clearance) bool { return now.Sub(c.at) >= Retention })
 }
 
-// bound drops the least telling requests beyond maxRequests.
-func (l *Ledger) bound() {
+// evictExcess removes the requests with the fewest ends beyond maxRequests.
+func (l *Ledger) evictExcess() {
 	if len(l.requests) <= maxRequests {
 		return
 	}
-	// More than needed, so that not every end sorts them all.
+	// Removes more than needed, so that not each new end has to sort all requests.
 	excess := len(l.requests) - maxRequests*7/8
 	byWorth := slices.SortedFunc(maps.Keys(l.requests), func(a, b core.Fingerprint) int {
 		x, y := l.requests[a], l.requests[b]
--- a/internal/poison/tell.go
+++ b/internal/poison/export.go
@@ -8,9 +8,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// This file tells what is known, to other processes and to operators.
+// This file exports the recorded ends to other processes and to operators.
 
-// Evidence returns the ends of servers on which a request ran, with no other request.
+// Evidence returns the ends of servers on which a request ran, without other requests.
 func (l *Ledger) Evidence(now core.Time, f core.Fingerprint) []core.ServerEnd {
 	r := l.requests[f]
 	if r == nil {
@@ -18,30 +18,30 @@
 	}
 	var ends []core.ServerEnd
 	for _, e := range r.ends {
-		ends = append(ends, e.told(now, f))
+		ends = append(ends, e.message(now, f))
 	}
 	return ends
 }
 
-// All returns all that is known, for a process that knows nothing yet.
+// All returns all recorded ends, for a process that has none yet.
 func (l *Ledger) All(now core.Time) []core.ServerEnd {
 	var all []core.ServerEnd
 	for _, instance := range slices.Sorted(maps.Keys(l.ends)) {
 		for _, e := range l.ends[instance] {
-			all = append(all, e.told(now, slices.Sorted(maps.Keys(e.lost))...))
+			all = append(all, e.message(now, slices.Sorted(maps.Keys(e.lost))...))
 		}
 	}
 	return all
 }
 
-// told is the end as others are told of it, with some of its requests.
-func (e *end) told(now core.Time, requests ...core.Fingerprint) core.ServerEnd {
-	told := e.ServerEnd
-	told.Ago, told.Requests = now.Sub(e.at), nil
+// message returns the end as sent to other processes, with the given requests.
+func (e *end) message(now core.Time, requests ...core.Fingerprint) core.ServerEnd {
+	message := e.ServerEnd
+	message.Ago, message.Requests = now.Sub(e.at), nil
 	for _, f := range requests {
-		told.Requests = append(told.Requests, core.LostRequest{Fingerprint: f, Age: e.lost[f].age, Arrival: e.lost[f].arrival})
+		message.Requests = append(message.Requests, core.LostRequest{Fingerprint: f, Age: e.lost[f].age, Arrival: e.lost[f].arrival})
 	}
-	return told
+	return message
 }
 
 // Entry is the dump of one request.
@@ -51,11 +51,12 @@
 	// Ends is the number of servers that ended under it, Servers their instances.
 	Ends    int
 	Servers []string
-	// FirstEnd and Seen are how long ago the first ended and it was last seen.
+	// FirstEnd is how long ago the first of them ended, Seen how long ago the request
+	// was last seen.
 	FirstEnd, Seen time.Duration
 }
 
-// Dump lists the requests under which two servers or more ended.
+// Dump returns the requests under which at least two servers ended.
 func (l *Ledger) Dump(now core.Time) []Entry {
 	var entries []Entry
 	for _, f := range slices.Sorted(maps.Keys(l.requests)) {
