--- a/internal/router/dump.go
+++ b/internal/router/dump.go
@@ -58,7 +58,7 @@
 		state.Backends = append(state.Backends, BackendState{
 			Instance: instance, Service: b.Service, Address: b.Address, Zone: b.Zone,
 			Listed: b.unlistedAt == 0, Draining: r.draining(b), LeftOut: r.now < b.ejectedUntil,
-			Requests: len(b.sent), Latency: b.latency, Ahead: b.queue.Ahead(r.now), Pace: b.pace, Failing: b.failing, Holdings: r.holdings(b),
+			Requests: len(b.sent), Latency: b.latency, Ahead: b.queue.Delay(r.now), Pace: b.pace, Failing: b.failing, Holdings: r.holdings(b),
 			LimitPerSecond: perSecond, LimitKnownFor: knownFor,
 		})
 	}
--- a/internal/router/forecast.go
+++ b/internal/router/forecast.go
@@ -42,10 +42,10 @@
 func (r *Router) forecast(b *backend, req *request) forecast {
 	p := req.prompt
 	s := r.service(b.Service)
-	f := forecast{unread: p.Tokens - b.cache.Cached(req.prefix)}
-	f.reading = time.Duration(float64(s.work.Reading(p.Model, f.unread)) * b.pace)
-	f.ahead = b.queue.Ahead(r.now) + r.othersAhead(b) + r.slotWait(b, p.Model)
-	f.first = s.work.Base() + f.ahead + f.reading
+	f := forecast{unread: p.Tokens - b.cache.CachedTokens(req.prefix)}
+	f.reading = time.Duration(float64(s.work.ReadTime(p.Model, f.unread)) * b.pace)
+	f.ahead = b.queue.Delay(r.now) + r.othersAhead(b) + r.slotWait(b, p.Model)
+	f.first = s.work.BaseLatency() + f.ahead + f.reading
 	return f
 }
 
@@ -83,18 +83,18 @@
 func (r *Router) promptSent(req *request) {
 	b, f := req.backend, req.attempt.forecast
 	b.queue.Send(r.now, uint64(req.key), f.reading, f.first)
-	b.cache.Read(req.prefix)
+	b.cache.Add(req.prefix)
 }
 
 // promptBegan learns from a generation's first event.
 func (r *Router) promptBegan(req *request, took time.Duration) {
 	b, f := req.backend, req.attempt.forecast
-	b.queue.Began(r.now, uint64(req.key))
+	b.queue.Started(r.now, uint64(req.key))
 	if f.ahead > f.reading/2 {
 		return
 	}
 	if b.pace == 1 {
-		r.service(b.Service).work.Answered(req.prompt.Model, f.unread, took)
+		r.service(b.Service).work.Observe(req.prompt.Model, f.unread, took)
 	}
 	if f.reading < paceReading {
 		return
@@ -113,5 +113,5 @@
 	if shared <= 0 {
 		return 0
 	}
-	return time.Duration(sharedChance * float64(r.service(b.Service).work.Reading(p.Model, shared)))
+	return time.Duration(sharedChance * float64(r.service(b.Service).work.ReadTime(p.Model, shared)))
 }
--- a/internal/router/loaders.go
+++ b/internal/router/loaders.go
@@ -206,7 +206,7 @@
 	}
 	if b := r.engineAt(l); b != nil {
 		l.ownThen, l.ownUnread = len(b.sent), b.queue.Len()
-		b.cache.Keep(func(model string) bool { has, _ := r.loaded(b, model, ""); return has })
+		b.cache.RetainModels(func(model string) bool { has, _ := r.loaded(b, model, ""); return has })
 		r.learnStoreLoad(b, l)
 		r.pumpFor(b)
 	}
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -146,7 +146,7 @@
 	if req.prompt != nil {
 		req.prefix = work.NewPrefix(req.prompt)
 		service.arrival(r.now, req.prompt)
-		service.meanReading = average(service.meanReading, service.work.Reading(req.prompt.Model, req.prompt.Tokens))
+		service.meanReading = average(service.meanReading, service.work.ReadTime(req.prompt.Model, req.prompt.Tokens))
 	}
 	r.requests[req.key] = req
 	r.dispatch(req)
@@ -286,7 +286,7 @@
 		return
 	}
 	delete(b.sent, req.key)
-	b.queue.Ended(r.now, uint64(req.key))
+	b.queue.Remove(r.now, uint64(req.key))
 	if held := r.holdings(b); held != nil && req.prompt != nil {
 		if m := findHeld(held, req.prompt.Model); m != nil && m.State == core.HoldUnloading {
 			// The loader waits for the last request to end.
--- a/internal/router/stop.go
+++ b/internal/router/stop.go
@@ -40,7 +40,7 @@
 		return req.route.Objective
 	}
 	generating = time.Duration(s.speed.tail * float64(generating))
-	return s.work.Base() + s.work.Reading(req.prompt.Model, req.prompt.Tokens) + generating
+	return s.work.BaseLatency() + s.work.ReadTime(req.prompt.Model, req.prompt.Tokens) + generating
 }
 
 // refuseAtStop ends a request whose answer would not be whole in time. Other hosts take it
--- a/internal/work/cache.go
+++ b/internal/work/cache.go
@@ -36,7 +36,7 @@
 
 // Cached is how many of a prompt's first tokens the engine need not read. A part
 // counts only if all parts before it do.
-func (c *Cache) Cached(p Prefix) int {
+func (c *Cache) CachedTokens(p Prefix) int {
 	tokens := 0
 	for _, piece := range p.pieces {
 		if !c.parts.Contains(piece.key) {
@@ -48,7 +48,7 @@
 }
 
 // Read notes that the engine reads a prompt, and so keeps it.
-func (c *Cache) Read(p Prefix) {
+func (c *Cache) Add(p Prefix) {
 	for _, piece := range p.pieces {
 		if _, ok := c.parts.Get(piece.key); ok {
 			continue
@@ -63,7 +63,7 @@
 
 // Keep forgets the prompts of all models but those that loaded names: unloading
 // a model drops them.
-func (c *Cache) Keep(loaded func(model string) bool) {
+func (c *Cache) RetainModels(loaded func(model string) bool) {
 	for _, key := range c.parts.Keys() {
 		if p, _ := c.parts.Peek(key); !loaded(p.model) {
 			c.parts.Remove(key)
--- a/internal/work/queue.go
+++ b/internal/work/queue.go
@@ -38,7 +38,7 @@
 // prompt grew later and later, and an engine that answered everything else within
 // 100 ms was taken to be seconds behind, so that callers of its models were
 // refused. An engine that has begun a prompt does not hang at one before it.
-func (q *Queue) Began(now core.Time, key uint64) {
+func (q *Queue) Started(now core.Time, key uint64) {
 	begun, ok := q.unread[key]
 	if !ok {
 		return
@@ -49,11 +49,11 @@
 			q.unread[other] = u
 		}
 	}
-	q.Ended(now, key)
+	q.Remove(now, key)
 }
 
 // Ended notes that a prompt was given up, or has begun.
-func (q *Queue) Ended(now core.Time, key uint64) {
+func (q *Queue) Remove(now core.Time, key uint64) {
 	if _, ok := q.unread[key]; !ok {
 		return
 	}
@@ -73,7 +73,7 @@
 // It guards against an engine that hangs or is slower than predicted: nothing
 // comes back from it, and by the prediction it would be free. What is late there
 // is taken to be as late again, so that others are chosen until it answers.
-func (q *Queue) Ahead(now core.Time) time.Duration {
+func (q *Queue) Delay(now core.Time) time.Duration {
 	late, left := time.Duration(0), time.Duration(0)
 	for _, u := range q.unread {
 		left += u.reading
--- a/internal/work/speed.go
+++ b/internal/work/speed.go
@@ -43,7 +43,7 @@
 }
 
 // Reading predicts the time in which an undisturbed engine reads so many tokens.
-func (s *Speed) Reading(model string, tokens int) time.Duration {
+func (s *Speed) ReadTime(model string, tokens int) time.Duration {
 	return time.Duration(s.perToken(model) * float64(tokens))
 }
 
@@ -64,7 +64,7 @@
 }
 
 // Base is the time to the first event beside reading.
-func (s *Speed) Base() time.Duration {
+func (s *Speed) BaseLatency() time.Duration {
 	if s.base == 0 {
 		return largestBase
 	}
@@ -73,8 +73,8 @@
 
 // Answered learns from a first event that came so long after its request was
 // sent, to an engine that had nothing else to read as far as is known.
-func (s *Speed) Answered(model string, tokens int, took time.Duration) {
-	s.base = min(took, largestBase, time.Duration(float64(s.Base())*baseRise))
+func (s *Speed) Observe(model string, tokens int, took time.Duration) {
+	s.base = min(took, largestBase, time.Duration(float64(s.BaseLatency())*baseRise))
 	if tokens < leastTokens || took <= s.base {
 		return
 	}
--- a/internal/work/work_test.go
+++ b/internal/work/work_test.go
@@ -24,10 +24,10 @@
 		if random.IntN(2) == 0 {
 			took += time.Duration(random.IntN(400)) * time.Millisecond
 		}
-		s.Answered(model, tokens, took)
+		s.Observe(model, tokens, took)
 	}
 	for model, want := range perToken {
-		got := s.Reading(model, 1000)
+		got := s.ReadTime(model, 1000)
 		if ratio := float64(got) / float64(1000*want); ratio < 0.8 || ratio > 1.2 {
 			t.Errorf("%s: 1,000 tokens in %s, want about %s", model, got, 1000*want)
 		}
@@ -38,12 +38,12 @@
 // service that nobody has called by a guess; neither as free.
 func TestUnknownModelIsPredicted(t *testing.T) {
 	s := Speed{}
-	if s.Reading("m", 1000) <= 0 || s.Base() <= 0 {
+	if s.ReadTime("m", 1000) <= 0 || s.BaseLatency() <= 0 {
 		t.Fatal("an unknown service is free")
 	}
-	s.Answered("a", 0, 10*time.Millisecond)
-	s.Answered("a", 1000, 110*time.Millisecond)
-	if got := s.Reading("b", 1000); got < 80*time.Millisecond || got > 120*time.Millisecond {
+	s.Observe("a", 0, 10*time.Millisecond)
+	s.Observe("a", 1000, 110*time.Millisecond)
+	if got := s.ReadTime("b", 1000); got < 80*time.Millisecond || got > 120*time.Millisecond {
 		t.Fatalf("1,000 tokens of an unknown model in %s, want about 100 ms", got)
 	}
 }
@@ -56,14 +56,14 @@
 	q.Send(start, 1, 100*time.Millisecond, 120*time.Millisecond)
 	before := time.Duration(0)
 	for _, after := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
-		ahead := q.Ahead(start.Add(after))
+		ahead := q.Delay(start.Add(after))
 		if ahead <= before {
 			t.Fatalf("%s after the request: %s ahead, before %s", after, ahead, before)
 		}
 		before = ahead
 	}
-	q.Ended(start.Add(4*time.Second), 1)
-	if got := q.Ahead(start.Add(4 * time.Second)); got != 0 {
+	q.Remove(start.Add(4*time.Second), 1)
+	if got := q.Delay(start.Add(4 * time.Second)); got != 0 {
 		t.Fatalf("%s ahead after the answer", got)
 	}
 }
@@ -78,11 +78,11 @@
 	for key := range uint64(4) {
 		short.Send(now, key, 22*time.Millisecond, time.Second)
 	}
-	if long.Ahead(now) != 720*time.Millisecond || short.Ahead(now) != 88*time.Millisecond {
-		t.Fatalf("%s and %s ahead", long.Ahead(now), short.Ahead(now))
+	if long.Delay(now) != 720*time.Millisecond || short.Delay(now) != 88*time.Millisecond {
+		t.Fatalf("%s and %s ahead", long.Delay(now), short.Delay(now))
 	}
-	long.Ended(now.Add(240*time.Millisecond), 0)
-	if got := long.Ahead(now.Add(240 * time.Millisecond)); got != 480*time.Millisecond {
+	long.Remove(now.Add(240*time.Millisecond), 0)
+	if got := long.Delay(now.Add(240 * time.Millisecond)); got != 480*time.Millisecond {
 		t.Fatalf("%s ahead after the first of three", got)
 	}
 }
@@ -103,7 +103,7 @@
 // that stays loaded and the memory lasts.
 func TestCacheKnowsWhatAnEngineHasRead(t *testing.T) {
 	c := NewCache(6000)
-	c.Read(testPrompt("m1", 1, "a", "b"))
+	c.Add(testPrompt("m1", 1, "a", "b"))
 	for _, test := range []struct {
 		name string
 		p    Prefix
@@ -114,19 +114,19 @@
 		{"other order", testPrompt("m1", 2, "b", "a"), 0},
 		{"other model", testPrompt("m2", 2, "a", "b"), 0},
 	} {
-		if got := c.Cached(test.p); got != test.want {
+		if got := c.CachedTokens(test.p); got != test.want {
 			t.Errorf("%s: %d tokens cached, want %d", test.name, got, test.want)
 		}
 	}
-	c.Read(testPrompt("m2", 3, "d", "e"))
-	c.Keep(func(model string) bool { return model == "m2" })
-	if got := c.Cached(testPrompt("m1", 2, "a", "b")); got != 0 {
+	c.Add(testPrompt("m2", 3, "d", "e"))
+	c.RetainModels(func(model string) bool { return model == "m2" })
+	if got := c.CachedTokens(testPrompt("m1", 2, "a", "b")); got != 0 {
 		t.Errorf("%d tokens of an unloaded model", got)
 	}
 	for i := range 10 {
-		c.Read(testPrompt("m2", 10+i, fmt.Sprint("x", i)))
+		c.Add(testPrompt("m2", 10+i, fmt.Sprint("x", i)))
 	}
-	if got := c.Cached(testPrompt("m2", 4, "d", "e")); got != 0 || c.tokens > 6000 {
+	if got := c.CachedTokens(testPrompt("m2", 4, "d", "e")); got != 0 || c.tokens > 6000 {
 		t.Errorf("%d tokens of a prompt that had to yield, %d kept", got, c.tokens)
 	}
 }
@@ -139,8 +139,8 @@
 	q.Send(now, 1, 20*time.Millisecond, 40*time.Millisecond)
 	now = now.Add(10 * time.Millisecond)
 	q.Send(now, 2, 20*time.Millisecond, 60*time.Millisecond)
-	q.Began(now.Add(60*time.Millisecond), 2)
-	if got := q.Ahead(now.Add(5 * time.Second)); got > 50*time.Millisecond {
+	q.Started(now.Add(60*time.Millisecond), 2)
+	if got := q.Delay(now.Add(5 * time.Second)); got > 50*time.Millisecond {
 		t.Fatalf("%s ahead at an engine that answers", got)
 	}
 }
