--- a/internal/work/cache.go
+++ b/internal/work/cache.go
@@ -7,35 +7,35 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// maxParts bounds the parts that are remembered of one engine: 30 bytes each.
+// maxParts limits the prompt parts that are remembered of one engine, at 30 bytes each.
 const maxParts = 4096
 
-// Cache is which parts of prompts one engine is taken to have: those that a
-// router sent there last, as many as the engine has memory for.
+// Cache estimates which parts of prompts one engine has in its cache: those that a router
+// sent there last, as many as fit into the engine's memory.
 type Cache struct {
 	capacity, tokens int
 	parts            *simplelru.LRU[uint64, part]
 }
 
-// part is a piece of a prompt, after all pieces before it.
+// part is a piece of a prompt that follows certain earlier pieces.
 type part struct {
 	model  string
 	tokens int
 }
 
-// NewCache returns an empty cache of an engine with memory for so many tokens.
+// NewCache returns an empty cache of an engine with memory for capacity tokens.
 func NewCache(capacity int) *Cache {
 	c := &Cache{capacity: capacity}
 	parts, err := simplelru.NewLRU(maxParts, func(_ uint64, p part) { c.tokens -= p.tokens })
 	if err != nil {
-		panic(err) // for a size below one only
+		panic(err) // only for a size below 1
 	}
 	c.parts = parts
 	return c
 }
 
-// Cached is how many of a prompt's first tokens the engine need not read. A part
-// counts only if all parts before it do.
+// CachedTokens returns how many of a prompt's first tokens the engine need not read. A
+// part counts only if all parts before it do.
 func (c *Cache) CachedTokens(p Prefix) int {
 	tokens := 0
 	for _, piece := range p.pieces {
@@ -47,7 +47,7 @@
 	return min(tokens, max(0, p.tokens-1))
 }
 
-// Read notes that the engine reads a prompt, and so keeps it.
+// Add records that the engine reads a prompt, and so caches it.
 func (c *Cache) Add(p Prefix) {
 	for _, piece := range p.pieces {
 		if _, ok := c.parts.Get(piece.key); ok {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Keep forgets the prompts of all models but those that loaded names: unloading
-// a model drops them.
+// RetainModels removes the prompts of all models for which loaded returns false:
+// unloading a model drops them.
 func (c *Cache) RetainModels(loaded func(model string) bool) {
 	for _, key := range c.parts.Keys() {
 		if p, _ := c.parts.Peek(key); !loaded(p.model) {
@@ -71,21 +71,21 @@
 	}
 }
 
-// Prefix is a prompt as a cache looks it up: hashed once, for all engines that the
-// prompt may go to.
+// Prefix is a prompt in the form in which a cache looks it up: hashed once, for all
+// engines that the prompt may be sent to.
 type Prefix struct {
 	model  string
 	tokens int
 	pieces []piece
 }
 
-// piece is a part of a prompt; its key names all parts before it too.
+// piece is a part of a prompt. Its key also identifies all parts before it.
 type piece struct {
 	key    uint64
 	tokens int
 }
 
-// NewPrefix hashes a prompt's parts.
+// NewPrefix returns the Prefix of a prompt.
 func NewPrefix(p *fleet.Prompt) Prefix {
 	prefix := Prefix{model: p.Model, tokens: p.Tokens, pieces: make([]piece, 0, len(p.Parts))}
 	digest := xxhash.New()
--- a/internal/work/work_test.go
+++ b/internal/work/work_test.go
@@ -10,10 +10,10 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// Two models, one four times as slow, are read behind prompts that the router
-// does not know of in half of the cases. Both speeds must come out within a
-// fifth: a mean took waiting for slow reading and made twice the copies needed.
-func TestSpeedIsLearntBesideUnknownPrompts(t *testing.T) {
+// Two models, one four times as slow, are read behind prompts that the router does not
+// know of in half of the cases. Both estimates must be within a fifth of the true values: a
+// mean counted waiting as slow reading and led to twice the copies needed.
+func TestSpeedDespiteUnknownPrompts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	perToken := map[string]time.Duration{"small": 25 * time.Microsecond, "large": 100 * time.Microsecond}
 	s := Speed{}
@@ -34,12 +34,12 @@
 	}
 }
 
-// A model that nobody has called yet is predicted as the others are, and a
-// service that nobody has called by a guess; neither as free.
-func TestUnknownModelIsPredicted(t *testing.T) {
+// A model without answers must be predicted like the others, and a service without
+// answers by the initial values; neither as taking no time.
+func TestUnknownModelIsPredictedFromOthers(t *testing.T) {
 	s := Speed{}
 	if s.ReadTime("m", 1000) <= 0 || s.BaseLatency() <= 0 {
-		t.Fatal("an unknown service is free")
+		t.Fatal("a service without answers is predicted to take no time")
 	}
 	s.Observe("a", 0, 10*time.Millisecond)
 	s.Observe("a", 1000, 110*time.Millisecond)
@@ -48,9 +48,10 @@
 	}
 }
 
-// An engine hangs. By the prediction it would be free after a while, and get all
-// further requests. What is late there must count for more and more.
-func TestHangingEngineLooksEverLater(t *testing.T) {
+// An engine hangs. By the prediction alone it would become idle after a while and receive
+// all further requests. The predicted delay must grow with the time that its prompt is
+// overdue.
+func TestDelayOfHangingEngineGrows(t *testing.T) {
 	q := Queue{}
 	start := core.Time(time.Hour)
 	q.Send(start, 1, 100*time.Millisecond, 120*time.Millisecond)
@@ -68,8 +69,8 @@
 	}
 }
 
-// Three long prompts take longer than four short ones, whatever their number.
-func TestQueueCountsReading(t *testing.T) {
+// Three long prompts must count for more than four short ones, despite their number.
+func TestQueueSumsReadTimes(t *testing.T) {
 	long, short := Queue{}, Queue{}
 	now := core.Time(time.Hour)
 	for key := range uint64(3) {
@@ -99,9 +100,9 @@
 	return NewPrefix(p)
 }
 
-// A part counts as cached only after the same parts, for the same model, while
-// that stays loaded and the memory lasts.
-func TestCacheKnowsWhatAnEngineHasRead(t *testing.T) {
+// A part must count as cached only after the same parts, for the same model, while the
+// model stays loaded and the memory suffices.
+func TestCachedTokens(t *testing.T) {
 	c := NewCache(6000)
 	c.Add(testPrompt("m1", 1, "a", "b"))
 	for _, test := range []struct {
@@ -127,13 +128,13 @@
 		c.Add(testPrompt("m2", 10+i, fmt.Sprint("x", i)))
 	}
 	if got := c.CachedTokens(testPrompt("m2", 4, "d", "e")); got != 0 || c.tokens > 6000 {
-		t.Errorf("%d tokens of a prompt that had to yield, %d kept", got, c.tokens)
+		t.Errorf("%d tokens of an evicted prompt, %d kept", got, c.tokens)
 	}
 }
 
-// The answer to one prompt is lost on its way; the engine answers all that comes
-// after it. It is not behind, and its callers must not be refused for it.
-func TestLostAnswerDoesNotMakeItsEngineLate(t *testing.T) {
+// The answer to one prompt is lost on its way, and the engine answers all later ones. It
+// is not behind, and requests must not be refused because of it.
+func TestLostAnswerDoesNotDelayItsEngine(t *testing.T) {
 	q := Queue{}
 	now := core.Time(time.Hour)
 	q.Send(now, 1, 20*time.Millisecond, 40*time.Millisecond)
