--- a/internal/loader/announce.go
+++ b/internal/loader/announce.go
@@ -248,13 +248,13 @@
 		sameModels(a.Models, b.Models) && sameNear(a, b)
 }
 
-// similarCount reports whether two numbers of routers are close enough to make no
-// difference to the share that a router computes, a twentieth. While 385 routers
-// connected, each new one was announced to all.
+// similarCount reports whether two numbers of routers differ by at most a twentieth, which
+// makes no difference to the share that a router computes. Without this tolerance, each of
+// 385 routers that connected was announced to all.
 func similarCount(a, b int) bool { return max(a-b, b-a) <= max(a, b)/countToleranceDivisor }
 
-// countToleranceDivisor is the divisor of the number of routers that gives the change
-// which is not announced.
+// countToleranceDivisor is the inverse of the relative change of the number of routers that
+// is not announced.
 const countToleranceDivisor = 20
 
 // sameModels compares models regardless of order. There are only a few, so a search costs
@@ -366,11 +366,11 @@
 	if t.order.Kind == fleet.OrderUnload {
 		return busyReadInterval
 	}
-	// Guards against a load that is predicted to end soon forever: shared by too many
-	// engines, the weight store takes a multiple of the nominal time. Callers waited, or
-	// were told to come back, because of a predicted end that was two seconds away for
+	// Guards against a load that is always predicted to end soon: shared by too many
+	// engines, the weight store takes a multiple of the nominal time. Callers waited or
+	// were asked to retry because of a predicted end that stayed two seconds away for
 	// thirteen seconds. A load that is overdue by some time is assumed to need as long
 	// again.
-	least := time.Duration(overdueShare * float64(t.due.Sub(t.began)))
-	return max(least, l.now.Sub(t.due))
+	remaining := time.Duration(overdueShare * float64(t.due.Sub(t.began)))
+	return max(remaining, l.now.Sub(t.due))
 }
