--- a/internal/limit/gate_test.go
+++ b/internal/limit/gate_test.go
@@ -7,47 +7,47 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// limitedGate is a gate of a server that takes 2 requests a second, and decides alone.
+// limitedGate returns the gate of a server that takes 2 requests a second.
 func limitedGate(now core.Time) *Gate {
 	g := NewGate(0.5)
-	g.Hear(now, named(2, now-10, now))
+	g.Update(now, named(2, now-10, now))
 	return g
 }
 
-// The loader that counts was frozen for a moment. One of 100 routers has gone by turns
-// meanwhile, each 50 s, and found none. Once it may ask the loader again it must, and not
-// refuse its callers until its next turn.
-func TestRouterAsksAgainOnceTheLoaderMayAnswer(t *testing.T) {
+// The loader that counts was frozen for a moment. One of 100 routers has used turns
+// meanwhile, one each 50 s, and has none now. Once it may ask the loader again it must do
+// so, and not refuse its callers until its next turn.
+func TestRouterAsksLoaderAgainAfterTimeout(t *testing.T) {
 	g := limitedGate(start)
-	g.Unanswered(start)
-	if g.TakeAlone(start, 100) {
-		t.Fatal("it has a turn now; the test needs one that has none")
+	g.RecordTimeout(start)
+	if g.TakeTurn(start, 100) {
+		t.Fatal("the router has a turn now; the test needs one without")
 	}
-	if room := g.RoomIn(start, false); room > silentFor {
-		t.Errorf("no room for %v while the loader may answer in %v", room, silentFor)
+	if delay := g.Delay(start, false); delay > localDuration {
+		t.Errorf("blocked for %v while the loader may answer in %v", delay, localDuration)
 	}
 }
 
-// The same, and the loader was gone and is connected again.
-func TestRouterAsksAgainOnceTheLoaderIsBack(t *testing.T) {
+// The same, after the loader was down and is connected again.
+func TestRouterAsksLoaderAgainAfterReconnect(t *testing.T) {
 	g := limitedGate(start)
-	g.TakeAlone(start, 100)
-	if room := g.RoomIn(start, false); room < silentFor {
-		t.Fatalf("room in %v; the test needs a turn that is far", room)
+	g.TakeTurn(start, 100)
+	if delay := g.Delay(start, false); delay < localDuration {
+		t.Fatalf("blocked for %v; the test needs a later turn", delay)
 	}
-	g.LoaderBack(start)
-	if room := g.RoomIn(start, false); room > 0 {
-		t.Errorf("no room for %v with the loader connected", room)
+	g.LoaderReconnected(start)
+	if delay := g.Delay(start, false); delay > 0 {
+		t.Errorf("blocked for %v with the loader connected", delay)
 	}
 }
 
-// A server names a limit of twelve digits, and no loader counts. The time between two turns
-// rounds to nothing, by which a router divided and ended.
-func TestHugeLimitAlone(t *testing.T) {
+// A server announces a limit of twelve digits, and no loader counts. Guards against the
+// time between two turns rounding to 0: a router divided by it and crashed.
+func TestHugeLimitWithoutLoader(t *testing.T) {
 	g := NewGate(0.5)
-	g.Hear(start, named(999_999_999_999, start-10, start))
+	g.Update(start, named(999_999_999_999, start-10, start))
 	for i := range 3 {
-		if now := start.Add(1000 * time.Duration(i+1)); !g.TakeAlone(now, 1) {
+		if now := start.Add(1000 * time.Duration(i+1)); !g.TakeTurn(now, 1) {
 			t.Errorf("request %d was refused", i)
 		}
 	}
--- a/internal/router/permit.go
+++ b/internal/router/permit.go
@@ -28,19 +28,19 @@
 // requested, or the request was dispatched elsewhere.
 func (r *Router) permitted(req *request, b *backend, spare bool) bool {
 	gate := b.limit.gate
-	gate.Asked(r.now)
+	gate.RecordIntent(r.now)
 	switch keeper := r.limitLoader(b); {
 	case req.granted == b:
 		req.granted = nil
 		return true
 	case !b.limited():
-		gate.Sent(r.now)
+		gate.RecordSent(r.now)
 		return true
-	case keeper != nil && gate.Asks(r.now):
+	case keeper != nil && gate.NeedsPermit(r.now):
 		r.askPermit(req, b, keeper, spare)
 		return false
-	case gate.TakeAlone(r.now, r.routers()):
-		gate.Sent(r.now)
+	case gate.TakeTurn(r.now, r.routers()):
+		gate.RecordSent(r.now)
 		r.countPermit(b, "own part")
 		return true
 	default:
@@ -69,7 +69,7 @@
 	req.asking = nil
 	switch {
 	case !answer.Granted:
-		b.limit.gate.Refused(r.now, answer.Room, answer.Spare)
+		b.limit.gate.RecordRefusal(r.now, answer.Room, answer.Spare)
 		r.countPermit(b, "refused")
 		r.noRoom(req, b, "the loader that counts")
 	case !r.serves(b, req):
@@ -88,7 +88,7 @@
 func (r *Router) permitTimedOut(req *request) {
 	b := req.asking
 	req.asking = nil
-	b.limit.gate.Unanswered(r.now)
+	b.limit.gate.RecordTimeout(r.now)
 	r.countPermit(b, "unanswered")
 	r.log(SingleRequest, "permit request not answered in time by the loader", req.attrs("instance", b.Instance)...)
 	r.dispatch(req)
@@ -99,7 +99,7 @@
 	perSecond, _ := b.limit.gate.Limit()
 	r.log(SingleRequest, "backend server has no room for the request", req.attrs("instance", b.Instance, "per_second", perSecond,
 		"known_for", r.now.Sub(b.limit.gate.KnownSince()).String(), "refused_by", refusedBy,
-		"room_in", b.limit.gate.RoomIn(r.now, true).String())...)
+		"room_in", b.limit.gate.Delay(r.now, true).String())...)
 	r.dispatch(req)
 }
 
@@ -117,7 +117,7 @@
 
 // hasRoom reports whether a server may take a request that no other server can serve.
 func (r *Router) hasRoom(b *backend) bool {
-	return len(r.limited) == 0 || b.limit.gate.RoomIn(r.now, false) == 0
+	return len(r.limited) == 0 || b.limit.gate.Delay(r.now, false) == 0
 }
 
 // withRoom removes from several servers those that have room only for requests that no
@@ -139,7 +139,7 @@
 
 // hasSpareRoom reports whether a server may take a request that another server could serve.
 func (r *Router) hasSpareRoom(b *backend) bool {
-	return len(r.limited) == 0 || b.limit.gate.RoomIn(r.now, true) == 0
+	return len(r.limited) == 0 || b.limit.gate.Delay(r.now, true) == 0
 }
 
 // canServe reports whether any server can take the request now.
@@ -153,7 +153,7 @@
 	var first *backend
 	room := time.Duration(0)
 	for _, b := range r.serversOf(req.service) {
-		in := b.limit.gate.RoomIn(r.now, false)
+		in := b.limit.gate.Delay(r.now, false)
 		if r.eligible(b, req) && (first == nil || in < room) {
 			first, room = b, in
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	perSecond, _ := first.limit.gate.Limit()
-	r.finish(req, code.AtLimit, r.retryAfterIn(first.limit.gate.ReturnIn(r.now)), fmt.Sprintf("no server has room within its limit; the first is %s, which has named %g a second for %v",
+	r.finish(req, code.AtLimit, r.retryAfterIn(first.limit.gate.RetryAfter(r.now)), fmt.Sprintf("no server has room within its limit; the first is %s, which has named %g a second for %v",
 		first.Instance, perSecond, r.now.Sub(first.limit.gate.KnownSince())))
 }
 
@@ -174,8 +174,8 @@
 	if !named {
 		return 0
 	}
-	queue := float64(max(0, waiting-1)) / max(limit.LeastPerSecond, perSecond)
-	return b.limit.gate.RoomIn(r.now, false) + time.Duration(queue*float64(time.Second))
+	queue := float64(max(0, waiting-1)) / max(limit.MinPerSecond, perSecond)
+	return b.limit.gate.Delay(r.now, false) + time.Duration(queue*float64(time.Second))
 }
 
 // limitTooLow reports whether an engine's limit is below the rate at which its models are
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -49,9 +49,9 @@
 		r.limitMalformed(b, answer.Limit.Text)
 		return
 	}
-	r.applyLimit(b, "its answer", limit.Word{
+	r.applyLimit(b, "its answer", limit.Announcement{
 		Named: answer.Limit.State == fleet.LimitReported, PerSecond: answer.Limit.PerSecond,
-		Sent: req.attempt.at, Heard: r.now,
+		Sent: req.attempt.at, Received: r.now,
 	})
 }
 
@@ -63,7 +63,7 @@
 	}
 	incarnation := fleet.Incarnation{Instance: e.Answer.Server.Instance, Born: e.Answer.Server.Born}
 	if incarnation.Compare(b.Incarnation) == 0 {
-		r.applyLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Answer.Word))
+		r.applyLimit(b, "loader "+string(e.Loader), limit.FromMessage(r.now, e.Answer.Word))
 	}
 	if e.Answer.Ask != 0 {
 		r.permitAnswered(b, e.Answer)
@@ -72,9 +72,9 @@
 
 // applyLimit applies a report on a server's limit. A change is logged and sent to the
 // loader that counts.
-func (r *Router) applyLimit(b *backend, source string, word limit.Word) {
+func (r *Router) applyLimit(b *backend, source string, word limit.Announcement) {
 	before, wasLimited := b.limit.gate.Limit()
-	if !b.limit.gate.Hear(r.now, word) {
+	if !b.limit.gate.Update(r.now, word) {
 		return
 	}
 	now, limited := b.limit.gate.Limit()
@@ -160,7 +160,7 @@
 func (r *Router) sendLimits(l *loader) {
 	for _, b := range r.limited {
 		if r.limitLoader(b) == l {
-			b.limit.gate.LoaderBack(r.now)
+			b.limit.gate.LoaderReconnected(r.now)
 			r.sendLimit(b)
 		}
 	}
@@ -168,7 +168,7 @@
 
 func (r *Router) limitMessage(b *backend) core.LimitAsk {
 	return core.LimitAsk{
-		Server: serverLife(b.Incarnation), Word: b.limit.gate.Told(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
+		Server: serverLife(b.Incarnation), Word: b.limit.gate.Message(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
 	}
 }
 
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -219,7 +219,7 @@
 func TestFrozenLoaderDoesNotDelayRequests(t *testing.T) {
 	w := newLimitedFixture(t, 1, 50)
 	key := w.call("once", nil)
-	w.run(limit.Patience + 2*tickInterval)
+	w.run(limit.PermitTimeout + 2*tickInterval)
 	if f, ended := w.finishes[key]; len(w.sends[key]) == 0 && !ended {
 		t.Fatal("the request still waits for the loader")
 	} else if ended && f.Code != code.AtLimit {
