--- a/internal/daemon/configpass.go
+++ b/internal/daemon/configpass.go
@@ -11,7 +11,7 @@
 // passConfig sends a loader the configuration in force, if that is above a version.
 func (p *routerProcess) passConfig(loader core.HostID, above int64) {
 	var config *fleet.Config
-	p.gateway.Look(func(r *router.Router) { config = r.Config() })
+	p.gateway.Inspect(func(r *router.Router) { config = r.Config() })
 	if config == nil || config.Version <= above {
 		return
 	}
@@ -36,7 +36,7 @@
 // they are so many that their own reads would cost more.
 func (p *routerProcess) spreadConfig(config *fleet.Config) {
 	parts, relays := 1, []core.HostID(nil)
-	p.gateway.Look(func(r *router.Router) {
+	p.gateway.Inspect(func(r *router.Router) {
 		parts = r.Parts()
 		relays = r.Relays(parts)
 	})
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -24,7 +24,7 @@
 
 // noteStore is the part of the platform's store that keeps notes.
 type noteStore interface {
-	KeepNote(ctx context.Context, name string, value []byte, lasts time.Duration) error
+	PutNote(ctx context.Context, name string, value []byte, lasts time.Duration) error
 }
 
 // noteKeeper writes a router's notes to the platform's store, one after the other, and
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	return k.store.KeepNote(ctx, note.Name, value, poison.Keep)
+	return k.store.PutNote(ctx, note.Name, value, poison.Keep)
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/internal/daemon/notes_test.go
+++ b/internal/daemon/notes_test.go
@@ -24,7 +24,7 @@
 	value []byte
 }
 
-func (s *flakyStore) KeepNote(_ context.Context, name string, value []byte, _ time.Duration) error {
+func (s *flakyStore) PutNote(_ context.Context, name string, value []byte, _ time.Duration) error {
 	if s.fails > 0 {
 		s.fails--
 		return errors.New("away")
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -126,7 +126,7 @@
 // serveCallers opens the callers' listener with the limits in force.
 func (p *routerProcess) serveCallers() error {
 	limits := fleet.Limits{MaxHeaderBytes: defaultHeaderBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdle}
-	p.gateway.Look(func(r *router.Router) {
+	p.gateway.Inspect(func(r *router.Router) {
 		if l := r.Limits(); l.MaxHeaderBytes > 0 {
 			limits = l
 		}
@@ -167,7 +167,7 @@
 // stop ends the process without cutting requests: the balancer is told first,
 // then connections close after their answers, then idle ones.
 func (p *routerProcess) stop() error {
-	p.log.Info("stopping", "limit", p.settings.StopLimit.String(), "requests", p.gateway.Calls())
+	p.log.Info("stopping", "limit", p.settings.StopLimit.String(), "requests", p.gateway.ActiveRequests())
 	p.ready.Store(false)
 	p.gateway.Stop()
 	limit := p.settings.StopLimit - stopReserve
@@ -180,7 +180,7 @@
 		return err
 	}
 	if err := p.conns.drain(ctx); err != nil {
-		p.log.Warn("requests cut at the end of the stop limit", "requests", p.gateway.Calls(), "error", err.Error())
+		p.log.Warn("requests cut at the end of the stop limit", "requests", p.gateway.ActiveRequests(), "error", err.Error())
 	}
 	_ = p.callers.Close()
 	return nil
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	p.gateway.Look(func(r *router.Router) { r.SetBounds(s.Fleet()) })
+	p.gateway.Inspect(func(r *router.Router) { r.SetBounds(s.Fleet()) })
 	p.reader.setPause(readPause(s.Bounds))
 	return nil
 }
@@ -277,7 +277,7 @@
 
 func (p *routerProcess) dump() any {
 	state := map[string]any{}
-	p.gateway.Look(func(r *router.Router) { state["router"] = r.Dump() })
+	p.gateway.Inspect(func(r *router.Router) { state["router"] = r.Dump() })
 	state["connections"] = p.links.Dump()
 	return state
 }
--- a/internal/daemon/storereader.go
+++ b/internal/daemon/storereader.go
@@ -108,13 +108,13 @@
 
 func (s *storeReader) ready() bool {
 	ready := false
-	s.gateway.Look(func(r *router.Router) { ready = r.Ready() })
+	s.gateway.Inspect(func(r *router.Router) { ready = r.Ready() })
 	return ready
 }
 
 func (s *storeReader) configVersion() int64 {
 	version := int64(0)
-	s.gateway.Look(func(r *router.Router) { version = r.ConfigVersion() })
+	s.gateway.Inspect(func(r *router.Router) { version = r.ConfigVersion() })
 	return version
 }
 
@@ -201,7 +201,7 @@
 	defer s.mu.Unlock()
 	s.countReaders()
 	s.gateway.Step(router.StoreState{Reachable: true})
-	reading := s.reader.ReadWhole(clock.Now(), snapshot.At)
+	reading := s.reader.ReadWhole(clock.Now(), snapshot.Position)
 	if reading == registry.Stale {
 		return errOldEra
 	}
@@ -210,7 +210,7 @@
 		s.confirm(begun)
 	}
 	if reading == registry.Restored {
-		s.gateway.Step(router.StoreWentBack{To: snapshot.At})
+		s.gateway.Step(router.StoreWentBack{To: snapshot.Position})
 		s.gateway.Step(router.BackendsRestored{Backends: snapshot.Backends})
 	} else {
 		s.gateway.Step(router.PoisonHeard{News: decodeNotes(snapshot.Notes, s.log)})
@@ -249,15 +249,15 @@
 	defer s.mu.Unlock()
 	s.countReaders()
 	s.gateway.Step(router.StoreState{Reachable: true})
-	if changes.At.Era > s.reader.Known().Era {
-		s.log.Warn("store went back; reading the whole again", "known", s.reader.Known().String(), "now", changes.At.String())
+	if changes.Position.Era > s.reader.Known().Era {
+		s.log.Warn("store went back; reading the whole again", "known", s.reader.Known().String(), "now", changes.Position.String())
 	}
 	if changes.Config != nil {
 		s.gateway.Step(router.ConfigRead{Config: changes.Config})
 		s.spread(changes.Config)
 	}
 	s.confirm(begun)
-	if s.reader.ReadChanges(clock.Now(), revision, changes.At) == registry.Current {
+	if s.reader.ReadChanges(clock.Now(), revision, changes.Position) == registry.Current {
 		poison := decodeNotes(changes.Notes, s.log)
 		s.passOn(revision, changes, poison)
 		s.gateway.Step(router.PoisonHeard{News: poison})
@@ -268,7 +268,7 @@
 
 // countReaders tells the reader how many routers read the store. The caller holds s.mu.
 func (s *storeReader) countReaders() {
-	s.gateway.Look(func(r *router.Router) { s.reader.SetReaders(r.Routers()) })
+	s.gateway.Inspect(func(r *router.Router) { s.reader.SetReaders(r.Routers()) })
 }
 
 // confirm tells the reducer that what it has was the newest when a read began, unless a
@@ -282,7 +282,7 @@
 // passOn tells the other routers, before the changes are applied here: what is told is
 // what differs from what was known.
 func (s *storeReader) passOn(from int64, changes platform.Changes, poison core.PoisonNews) {
-	news := core.RegistryNews{From: from, To: changes.At.Revision, Era: changes.At.Era, Poison: poison}
+	news := core.RegistryNews{From: from, To: changes.Position.Revision, Era: changes.Position.Era, Poison: poison}
 	for instance := range changes.Removed {
 		news.Removed = append(news.Removed, instance)
 	}
@@ -290,7 +290,7 @@
 		news.Config = changes.Config.Version
 	}
 	var to []core.HostID
-	s.gateway.Look(func(r *router.Router) {
+	s.gateway.Inspect(func(r *router.Router) {
 		news.Written = r.NewsOf(changes.Written)
 		to = r.Relays(relays)
 	})
@@ -329,7 +329,7 @@
 // it is not, as with the registry's news.
 func (s *storeReader) spreadWait() time.Duration {
 	wait := time.Duration(0)
-	s.gateway.Look(func(r *router.Router) { wait = r.SpreadWait() })
+	s.gateway.Inspect(func(r *router.Router) { wait = r.SpreadWait() })
 	return time.Duration(s.reader.DelayFraction() * float64(wait))
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -202,7 +202,7 @@
 	}
 	c.started = true
 	header := c.writer.Header()
-	platform.CopyAnswerHeader(header, a.response.Header)
+	platform.CopyResponseHeader(header, a.response.Header)
 	if _, ok := header["Content-Type"]; !ok {
 		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -76,7 +76,7 @@
 		return nil, code.OK
 	}
 	limit := int64(defaultBodyBytes)
-	g.Look(func(r *router.Router) {
+	g.Inspect(func(r *router.Router) {
 		if l := r.Limits().MaxBodyBytes; l > 0 {
 			limit = l
 		}
@@ -147,7 +147,7 @@
 
 func refuse(w http.ResponseWriter, requestID string, c code.Code, retryAfter time.Duration, reason string) {
 	header := w.Header()
-	platform.StampRefusal(header, requestID)
+	platform.SetRefusalHeader(header, requestID)
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
@@ -179,7 +179,7 @@
 		return
 	}
 	_ = conn.SetDeadline(deadline)
-	header := platform.RequestHeader(c.request.Header, platform.Sending{
+	header := platform.RequestHeader(c.request.Header, platform.RequestOptions{
 		Instance: d.Instance, Remaining: limit, Priority: d.Priority, LastEvent: c.lastEvent,
 		HideCredentials: d.HideCredentials, Account: d.Account,
 	})
--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -51,7 +51,7 @@
 			if n := taken.Load(); n != 1 {
 				t.Errorf("%d servers got the request, want 1", n)
 			}
-			if n := s.gateway.Calls(); n != 0 {
+			if n := s.gateway.ActiveRequests(); n != 0 {
 				t.Errorf("%d requests are left", n)
 			}
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Look runs a function on the reducer between two steps.
-func (g *Gateway) Look(f func(*router.Router)) {
+// Inspect runs a function on the reducer between two steps.
+func (g *Gateway) Inspect(f func(*router.Router)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(g.router)
@@ -141,8 +141,8 @@
 // Sweep closes connections to backend servers that were idle for too long.
 func (g *Gateway) Sweep() { g.pool.sweep(time.Now()) }
 
-// Calls is the number of requests in the process.
-func (g *Gateway) Calls() int {
+// ActiveRequests is the number of requests in the process.
+func (g *Gateway) ActiveRequests() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.calls)
