--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -85,7 +85,7 @@
 	p.gateway = gateway.New(router.New(router.Options{
 		Host: core.HostID(p.settings.Address), Zone: p.settings.Zone, LoaderPort: p.settings.LoaderPort, Processor: p.settings.Processor,
 		Bounds: p.settings.Fleet(), Seed: randomUint64(),
-	}), gateway.Options{Links: p.links, Publish: notes.put, LookIntoStore: p.lookIntoStore, Metrics: p.metrics, Log: p.log, Requests: p.requests})
+	}), gateway.Options{Links: p.links, Publish: notes.put, RequestStoreRead: p.lookIntoStore, Metrics: p.metrics, Log: p.log, Requests: p.requests})
 	p.reader = newStoreReader(store, p.gateway, readPause(p.settings.Bounds), p.log)
 	p.reader.spread = p.spreadConfig
 	p.reader.send = func(to []core.HostID, news core.Message) { p.links.SendAll(to, news) }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// attemptSlack lets the reducer end an attempt before its reads time out.
+	// attemptSlack is added to the deadline of a connection, so that the reducer ends an
+	// attempt before its reads time out.
 	attemptSlack = 500 * time.Millisecond
-	// maxStray is how many answers to other requests are read over before a
-	// connection is given up.
-	maxStray = 2
-	// maxHeld is the most of an answer that is held until it is whole; larger
-	// ones are passed on as they come.
-	maxHeld = 256 << 10
-	// streamChunk is the size of reads from a stream.
+	// maxStrayAnswers is the number of responses to other requests that are skipped before
+	// the attempt fails.
+	maxStrayAnswers = 2
+	// maxBufferedBytes is the largest body that is buffered completely before it is
+	// forwarded. Larger ones are forwarded as they arrive.
+	maxBufferedBytes = 256 << 10
+	// streamChunk is the size of reads from a stream, in bytes.
 	streamChunk = 4 << 10
 )
 
-// answer is a backend server's answer to an attempt.
+// answer is a backend server's response to an attempt.
 type answer struct {
 	attempt  int
 	send     router.Send
@@ -36,45 +37,47 @@
 	response *http.Response
 	head     platform.Head
 	stream   bool
-	// body is the whole body of an answer that was held, and whole is set.
-	body  []byte
-	whole bool
-	pace  pace
-	// sentAll is set if the request was written whole.
-	sentAll bool
+	// body is the buffered body, or its start if complete is not set. It is empty for
+	// streams.
+	body     []byte
+	complete bool
+	timing   eventTiming
+	// requestSent is set if the complete request was written.
+	requestSent bool
 }
 
-// pace is how fast the events of a stream come.
-type pace struct {
+// eventTiming measures the intervals between the events of a stream.
+type eventTiming struct {
 	events      int
 	first, last time.Time
 }
 
-// add notes that so many events have come by now.
-func (p *pace) add(events int, now time.Time) {
-	if p.events == 0 {
-		p.first = now
+// add records that, in total, the given number of events have arrived by now.
+func (t *eventTiming) add(events int, now time.Time) {
+	if t.events == 0 {
+		t.first = now
 	}
-	p.events, p.last = events, now
+	t.events, t.last = events, now
 }
 
-// pause is the mean pause between events.
-func (p *pace) pause() time.Duration {
-	if p.events < 2 {
+// meanPause returns the mean interval between events, 0 for fewer than two.
+func (t *eventTiming) meanPause() time.Duration {
+	if t.events < 2 {
 		return 0
 	}
-	return p.last.Sub(p.first) / time.Duration(p.events-1)
+	return t.last.Sub(t.first) / time.Duration(t.events-1)
 }
 
 func (c *call) now() core.Time { return clock.Now() }
 
-// reusable tells whether the connection may serve another request.
+// reusable reports whether the connection can be used for another request.
 func (a *answer) reusable() bool {
-	return a.sentAll && !a.response.Close && a.response.ProtoAtLeast(1, 1) &&
+	return a.requestSent && !a.response.Close && a.response.ProtoAtLeast(1, 1) &&
 		(a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0)
 }
 
-// readAnswer reads the head of the answer, and all of it if it is no stream.
+// readAnswer reads the head of the response and, unless it is a stream, its body up to
+// maxBufferedBytes. sent is the error of writing the request, if any.
 func (c *call) readAnswer(d router.Send, conn *upstream, sent error) {
 	a, err := c.readHead(d, conn)
 	if err != nil {
@@ -82,13 +85,13 @@
 		if isConnError(err) {
 			failure = router.NoAnswer
 		}
-		c.failConn(d, conn, failure, errors.CombineErrors(err, sent))
+		c.abortAndReport(d, conn, failure, errors.CombineErrors(err, sent))
 		return
 	}
-	a.sentAll = sent == nil
+	a.requestSent = sent == nil
 	if !a.stream {
-		if failed, err := a.hold(); err != nil {
-			c.failConn(d, conn, failed, err)
+		if failed, err := a.bufferBody(); err != nil {
+			c.abortAndReport(d, conn, failed, err)
 			return
 		}
 	}
@@ -101,11 +104,11 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &network)
 }
 
-// readHead reads the head of the answer to this request.
+// readHead reads the head of the response to this request.
 //
-// It guards against answers that belong to other requests: a faulty server may
-// send one twice, and the second comes where this request's answer is due. The
-// id tells them apart.
+// It skips responses to other requests, which it detects by their request id: a faulty server
+// may send a response twice, and the second one arrives in place of the response to the next
+// request on the connection.
 func (c *call) readHead(d router.Send, conn *upstream) (*answer, error) {
 	for stray := 0; ; {
 		response, err := http.ReadResponse(conn.reader, c.request)
@@ -118,14 +121,14 @@
 		head := platform.DecodeHead(response)
 		if head.RequestID != "" && head.RequestID != c.info.ID {
 			stray++
-			if _, err := io.Copy(io.Discard, response.Body); err != nil || stray > maxStray {
-				return nil, errors.Newf("answers to other requests came, the last to %s", head.RequestID)
+			if _, err := io.Copy(io.Discard, response.Body); err != nil || stray > maxStrayAnswers {
+				return nil, errors.Newf("received responses to other requests, the last one to %s", head.RequestID)
 			}
 			continue
 		}
 		success := head.Status >= 200 && head.Status < 300
 		if success && (!head.Sealed || head.Encoded || head.RequestID == "") {
-			return nil, errors.Newf("a success that is not the server's: status %d, sealed %t, encoded %t, id %q",
+			return nil, errors.Newf("success response not from the backend server: status %d, sealed %t, encoded %t, id %q",
 				head.Status, head.Sealed, head.Encoded, head.RequestID)
 		}
 		stream := success && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
@@ -133,66 +136,64 @@
 	}
 }
 
-// hold reads the body, so that an answer that breaks off can be replaced by
-// another server's. One that is too large for that is passed on as it comes.
-func (a *answer) hold() (router.Failure, error) {
+// bufferBody reads the body up to maxBufferedBytes, so that a truncated response can be
+// replaced by that of another server. A larger one is forwarded as it arrives.
+func (a *answer) bufferBody() (router.Failure, error) {
 	var b bytes.Buffer
-	_, err := io.Copy(&b, io.LimitReader(a.response.Body, maxHeld+1))
+	_, err := io.Copy(&b, io.LimitReader(a.response.Body, maxBufferedBytes+1))
 	a.body = b.Bytes()
 	if err != nil {
 		return router.Broken, errors.Wrap(err, "read body")
 	}
-	a.whole = len(a.body) <= maxHeld
+	a.complete = len(a.body) <= maxBufferedBytes
 	return 0, nil
 }
 
-// relay passes an answer on. It reports whether the request has ended.
+// relay forwards a response. It reports whether the request has ended.
 func (c *call) relay(a *answer) (ended bool) {
 	if a.stream {
 		return c.relayStream(a)
 	}
-	// Guards against a stream that looks complete: a part of it was passed on, its
-	// server broke off, and the next one answers with a failure instead of going
-	// on. Passed on, that answer would end the stream in good order, some events
-	// short.
+	// A part of a stream was forwarded, its server failed, and the next server responded
+	// with an error instead of resuming it. Forwarding that response would end the stream
+	// normally with events missing, so that it would look complete.
 	if c.started {
-		return c.breakOff(a, errors.Newf("status %d in place of the rest of the stream", a.head.Status))
+		return c.reportBroken(a, errors.Newf("received status %d instead of the rest of the stream", a.head.Status))
 	}
 	c.writeHead(a)
-	c.pass(a.body)
-	if !a.whole {
+	c.writeToCaller(a.body)
+	if !a.complete {
 		if _, err := io.Copy(callerWriter{c}, a.response.Body); err != nil {
-			return c.breakOff(a, err)
+			return c.reportBroken(a, err)
 		}
 	}
-	c.end(a)
+	c.complete(a)
 	return true
 }
 
-// pass writes a part of the answer to the caller.
+// writeToCaller writes a part of the response to the caller.
 //
-// It guards against blaming a server for its caller: a write fails because the
-// caller closed the connection. Told as a failure of the answer, it would count
-// against the server, and a stream that can be resumed would be sent to another
-// one for nobody. A caller who left ends the request.
-func (c *call) pass(data []byte) {
+// A write fails because the caller closed the connection, so an error ends the request.
+// Reported as a failure of the attempt, it would count as a failure of the server, and a
+// resumable stream would be sent to another server without anyone to receive it.
+func (c *call) writeToCaller(data []byte) {
 	if _, err := c.writer.Write(data); err != nil {
-		c.callerLeft()
+		c.abortCallerGone()
 	}
 }
 
-// callerLeft ends the request and the handler.
-func (c *call) callerLeft() {
-	c.drop()
+// abortCallerGone ends the request and the handler after the caller has disconnected.
+func (c *call) abortCallerGone() {
+	c.abortConn()
 	c.gateway.Step(router.Gone{Key: c.key})
 	panic(http.ErrAbortHandler)
 }
 
-// callerWriter passes an answer on as it is read.
+// callerWriter forwards a response as it is read.
 type callerWriter struct{ call *call }
 
 func (w callerWriter) Write(data []byte) (int, error) {
-	w.call.pass(data)
+	w.call.writeToCaller(data)
 	return len(data), nil
 }
 
@@ -204,35 +205,35 @@
 	header := c.writer.Header()
 	platform.CopyResponseHeader(header, a.response.Header)
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // keeps net/http from guessing one
+		header["Content-Type"] = nil // prevents net/http from detecting one
 	}
 	if c.gateway.stopping.Load() {
 		header.Set("Connection", "close")
 	}
-	if a.whole && a.response.ContentLength >= 0 {
+	if a.complete && a.response.ContentLength >= 0 {
 		header.Set("Content-Length", a.response.Header.Get("Content-Length"))
 	}
 	c.writer.WriteHeader(a.response.StatusCode)
 }
 
-// end ends a request whose answer was passed on whole.
-func (c *call) end(a *answer) {
-	c.giveBack(a)
-	c.gateway.Step(router.Done{Key: c.key, Attempt: a.attempt, Events: a.pace.events, Pause: a.pace.pause()})
+// complete ends a request whose response was forwarded completely.
+func (c *call) complete(a *answer) {
+	c.releaseConn(a)
+	c.gateway.Step(router.Done{Key: c.key, Attempt: a.attempt, Events: a.timing.events, Pause: a.timing.meanPause()})
 }
 
-// relayStream passes whole events on as they come. The head goes with the
-// first, so that until then the request can still be answered otherwise.
+// relayStream forwards complete events as they arrive. It sends the head with the first
+// event, so that until then the request can still get a different response.
 func (c *call) relayStream(a *answer) (ended bool) {
 	s := eventScanner{}
 	chunk := make([]byte, streamChunk)
-	stall := c.watchStall(a)
+	stall := c.newStallTimer(a)
 	defer stall.Stop()
 	for first := true; ; {
 		n, err := a.response.Body.Read(chunk)
-		if events := s.take(chunk[:n]); len(events) > 0 {
-			a.pace.add(s.count, time.Now())
-			c.passEvents(a, events, &first)
+		if events := s.feed(chunk[:n]); len(events) > 0 {
+			a.timing.add(s.count, time.Now())
+			c.writeEvents(a, events, &first)
 			c.lastEvent = s.lastID
 			if d := a.send.StallAfter; d > 0 {
 				stall.Reset(d)
@@ -243,24 +244,24 @@
 		case errors.Is(err, io.EOF):
 			return c.endStream(a, &s)
 		default:
-			return c.breakOff(a, err)
+			return c.reportBroken(a, err)
 		}
 	}
 }
 
-// watchStall tells the reducer once no event has come for long. The timer
-// starts with the first event.
-func (c *call) watchStall(a *answer) *time.Timer {
+// newStallTimer returns a timer that reports to the reducer that no event has arrived for too
+// long. It is effectively started by the first event; the initial hour is a placeholder.
+func (c *call) newStallTimer(a *answer) *time.Timer {
 	return time.AfterFunc(time.Hour, func() {
 		c.gateway.Step(router.Stalled{Key: c.key, Attempt: a.attempt})
 	})
 }
 
-func (c *call) passEvents(a *answer, events []byte, first *bool) {
+func (c *call) writeEvents(a *answer, events []byte, first *bool) {
 	c.writeHead(a)
-	c.pass(events)
+	c.writeToCaller(events)
 	if err := http.NewResponseController(c.writer).Flush(); err != nil {
-		c.callerLeft()
+		c.abortCallerGone()
 	}
 	if *first {
 		*first = false
@@ -268,17 +269,17 @@
 	}
 }
 
-// endStream passes on what is left after the last event.
+// endStream forwards the bytes after the last event and completes the request.
 func (c *call) endStream(a *answer, s *eventScanner) bool {
 	c.writeHead(a)
-	if rest := s.rest(); len(rest) > 0 {
-		c.pass(rest)
+	if rest := s.remainder(); len(rest) > 0 {
+		c.writeToCaller(rest)
 	}
-	c.end(a)
+	c.complete(a)
 	return true
 }
 
-func (c *call) breakOff(a *answer, err error) bool {
-	c.failConn(a.send, a.conn, router.Broken, err)
+func (c *call) reportBroken(a *answer, err error) bool {
+	c.abortAndReport(a.send, a.conn, router.Broken, err)
 	return false
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// maxDecisions is above the decisions that one request can have waiting:
-	// each attempt leads to two at most, and attempts are bounded by the route.
+	// maxDecisions exceeds the number of decisions that can be pending for one request:
+	// each attempt causes at most two, and the route limits the attempts.
 	maxDecisions = 64
-	// defaultBodyBytes applies before a configuration is known.
+	// defaultBodyBytes is the limit of a request's body while there is no configured one.
 	defaultBodyBytes = 1 << 20
 )
 
-// call is a caller's request while its goroutine serves it.
+// call is the state of a caller's request, used by the goroutine that serves it.
 type call struct {
 	gateway   *Gateway
 	key       router.Key
@@ -36,7 +36,8 @@
 	body      []byte
 	decisions chan router.Effect
 
-	// mu guards the connection of the current attempt, which Abandon closes.
+	// mu guards conn, the connection of the current attempt, and abandoned, the last attempt
+	// that the reducer has abandoned.
 	mu        sync.Mutex
 	conn      *upstream
 	abandoned int
@@ -44,12 +45,12 @@
 	writer  http.ResponseWriter
 	answer  *answer
 	started bool
-	// lastEvent is the id of the last event that was passed on. A further
-	// attempt goes on after it.
+	// lastEvent is the id of the last event that was forwarded. Further attempts resume
+	// after it.
 	lastEvent string
 }
 
-// ServeHTTP serves one request of a caller.
+// ServeHTTP implements http.Handler. It serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if g.stopping.Load() {
 		w.Header().Set("Connection", "close")
@@ -63,14 +64,14 @@
 	info.Fingerprint = fingerprint(r, body)
 	c := g.register(r, body)
 	c.info, c.writer = info, w
-	defer g.forget(c)
+	defer g.unregister(c)
 	stop := context.AfterFunc(r.Context(), func() { g.Step(router.Gone{Key: c.key}) })
 	defer stop()
 	g.Step(router.Arrived{Key: c.key, Request: info})
 	c.serve()
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the complete body, so that further attempts can send it again.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, code.Code) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, code.OK
@@ -92,53 +93,54 @@
 	return body, code.OK
 }
 
-// serve carries out decisions until one ends the request.
+// serve executes decisions until the request has ended.
 func (c *call) serve() {
 	for {
 		select {
 		case <-c.request.Context().Done():
-			c.drop()
+			c.abortConn()
 			panic(http.ErrAbortHandler)
 		case decision := <-c.decisions:
-			if c.carryOut(decision) {
+			if c.execute(decision) {
 				return
 			}
 		}
 	}
 }
 
-// carryOut reports whether the request has ended.
-func (c *call) carryOut(decision router.Effect) (ended bool) {
+// execute executes a decision and reports whether the request has ended.
+func (c *call) execute(decision router.Effect) (ended bool) {
 	switch d := decision.(type) {
 	case router.Send:
-		c.recycle()
+		c.discardAnswer()
 		c.attempt(d)
 	case router.Forward:
 		if c.answer != nil && c.answer.attempt == d.Attempt {
 			return c.relay(c.answer)
 		}
 	case router.Finish:
-		c.recycle()
+		c.discardAnswer()
 		c.finish(d)
 		return true
 	}
 	return false
 }
 
-// finish answers for ourselves. A caller who has got a part of another answer
-// sees the connection break, since what comes must not look complete.
+// finish sends a response that the router itself generates. If a part of a server's response
+// was already forwarded, it aborts the connection instead, so that the truncated response
+// does not look complete.
 func (c *call) finish(d router.Finish) {
 	if c.started {
 		panic(http.ErrAbortHandler)
 	}
 	if d.Code == code.Starved || c.gateway.stopping.Load() {
-		// The caller's next try is to reach another host.
+		// Makes the caller's next try use a new connection, which may reach another host.
 		c.writer.Header().Set("Connection", "close")
 	}
 	refuse(c.writer, c.info.ID, d.Code, d.RetryAfter, d.Reason)
 }
 
-// refusal is the body of an answer of our own.
+// refusal is the body of a response that the router itself generates.
 type refusal struct {
 	Code   int    `json:"code"`
 	Name   string `json:"name"`
@@ -154,27 +156,27 @@
 	header.Set("Content-Type", "application/json")
 	body, err := json.Marshal(refusal{Code: int(c), Name: c.String(), Reason: reason})
 	if err != nil {
-		body = []byte("{}") // plain strings and an integer always encode
+		body = []byte("{}") // unreachable: strings and an integer can always be encoded
 	}
 	w.WriteHeader(c.HTTPStatus())
-	_, _ = w.Write(body) // a caller who left does not read it
+	_, _ = w.Write(body) // fails only if the caller has disconnected
 }
 
-// attempt sends the request to a backend server and reads the head of its
-// answer. What happened is told to the reducer.
+// attempt sends the request to a backend server, reads the response up to its head or, if it
+// is not a stream, its body, and reports the result to the reducer.
 func (c *call) attempt(d router.Send) {
 	limit := d.Until.Sub(c.now())
 	deadline := time.Now().Add(limit + attemptSlack)
 	conn, err := c.connect(d, limit)
-	if errors.Is(err, errNoConnFree) {
-		c.fail(d, router.ConnsUsed, err)
+	if errors.Is(err, errConnLimit) {
+		c.reportFailure(d, router.ConnsUsed, err)
 		return
 	}
 	if err != nil {
-		c.fail(d, router.NotSent, err)
+		c.reportFailure(d, router.NotSent, err)
 		return
 	}
-	if !c.hold(conn, d.Attempt) {
+	if !c.setConn(conn, d.Attempt) {
 		conn.discard()
 		return
 	}
@@ -185,11 +187,11 @@
 	})
 	wrote, err := c.write(conn, header)
 	if err != nil && wrote == 0 && !conn.used {
-		c.failConn(d, conn, router.NotSent, err)
+		c.abortAndReport(d, conn, router.NotSent, err)
 		return
 	}
-	// A write error is not the end: the server may have answered before it
-	// read the whole.
+	// The server may have responded before it read the complete request, so a response may
+	// follow a write error.
 	c.readAnswer(d, conn, err)
 }
 
@@ -199,8 +201,8 @@
 	return c.gateway.pool.get(ctx, d.Address, d.MaxConns)
 }
 
-// write sends the request as the caller sent it: method, target and body
-// unchanged, the body with its length.
+// write sends the request with the caller's method, target and body unchanged. The body is
+// sent with a Content-Length. It returns the number of bytes written.
 func (c *call) write(conn *upstream, header http.Header) (int, error) {
 	var b bytes.Buffer
 	b.Grow(readerBytes)
@@ -218,8 +220,8 @@
 	return n, errors.Wrap(err, "send request")
 }
 
-// requestTarget is the target of the request line as the caller sent it, but
-// without a host in front.
+// requestTarget returns the target of the request line as the caller sent it, in origin form:
+// without scheme and host.
 func requestTarget(r *http.Request) string {
 	if len(r.RequestURI) > 0 && r.RequestURI[0] == '/' {
 		return r.RequestURI
@@ -227,8 +229,8 @@
 	return r.URL.RequestURI()
 }
 
-// hold makes a connection the current attempt's, unless that was abandoned.
-func (c *call) hold(conn *upstream, attempt int) bool {
+// setConn sets the connection of an attempt. It returns false if the attempt was abandoned.
+func (c *call) setConn(conn *upstream, attempt int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.abandoned >= attempt {
@@ -238,7 +240,7 @@
 	return true
 }
 
-// abandon resets the connection of an attempt, which ends its reads.
+// abandon resets the connection of an attempt, which interrupts its reads.
 func (c *call) abandon(attempt int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -249,8 +251,8 @@
 	}
 }
 
-// drop resets the current connection, if any.
-func (c *call) drop() {
+// abortConn resets the current connection, if any.
+func (c *call) abortConn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil {
@@ -259,8 +261,9 @@
 	}
 }
 
-// giveBack ends the use of a connection after a whole answer.
-func (c *call) giveBack(a *answer) {
+// releaseConn returns the current connection, if any, to the pool after a complete response,
+// or closes it if it is not reusable.
+func (c *call) releaseConn(a *answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn == nil {
@@ -274,25 +277,25 @@
 	c.conn = nil
 }
 
-// recycle ends the use of the connection of an attempt whose answer, if any,
-// is not passed on.
-func (c *call) recycle() {
-	if c.answer != nil && c.answer.whole {
-		c.giveBack(c.answer)
+// discardAnswer discards the response of an attempt, if any, that is not forwarded. It releases
+// the connection after a complete response and resets it otherwise.
+func (c *call) discardAnswer() {
+	if c.answer != nil && c.answer.complete {
+		c.releaseConn(c.answer)
 	}
 	c.answer = nil
-	c.drop()
+	c.abortConn()
 }
 
-func (c *call) fail(d router.Send, failure router.Failure, err error) {
+func (c *call) reportFailure(d router.Send, failure router.Failure, err error) {
 	c.gateway.Step(router.AttemptFailed{
-		Key: c.key, Attempt: d.Attempt, Failure: failure, Peer: peerOf(err), Cause: err.Error(),
+		Key: c.key, Attempt: d.Attempt, Failure: failure, Peer: peerState(err), Cause: err.Error(),
 	})
 }
 
-// peerOf tells what an error of a connection shows of the server's process. A time-out
-// shows nothing, and neither does a connection that we closed.
-func peerOf(err error) router.Peer {
+// peerState derives the state of the server's process from a connection error. A timeout does
+// not indicate the state, and neither does a connection that the gateway itself closed.
+func peerState(err error) router.Peer {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return router.PeerRefused
@@ -303,10 +306,10 @@
 	}
 }
 
-func (c *call) failConn(d router.Send, conn *upstream, failure router.Failure, err error) {
-	c.drop()
+func (c *call) abortAndReport(d router.Send, conn *upstream, failure router.Failure, err error) {
+	c.abortConn()
 	if failure == router.NoAnswer {
 		c.gateway.pool.dropIdle(conn.address)
 	}
-	c.fail(d, failure, err)
+	c.reportFailure(d, failure, err)
 }
--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -12,47 +12,47 @@
 	"github.com/cockroachdb/errors"
 )
 
-// leftCaller is a caller whose connection is closed: writes to it fail. It is
-// noticed by the write before the server's HTTP code tells of the end.
-type leftCaller struct{ http.ResponseWriter }
+// disconnectedCaller is a response writer whose writes fail, as after the caller closed its
+// connection. The write fails before net/http cancels the request's context.
+type disconnectedCaller struct{ http.ResponseWriter }
 
-func (leftCaller) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
+func (disconnectedCaller) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// A caller closes its connection while an answer is written to it. The engine
-// does nothing wrong: it must not count as failing, and a stream that could be
-// resumed must not go to another engine, where it would run for nobody.
-func TestCallerWhoLeftIsNoFailureOfTheServer(t *testing.T) {
+// A caller closes its connection while a response is written to it. This must not count as a
+// failure of the engine, and a resumable stream must not be sent to another engine, which
+// would execute it without a recipient.
+func TestCallerDisconnectIsNotServerFailure(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/again/x"} {
 		t.Run(path, func(t *testing.T) {
 			var taken atomic.Int32
 			serve := func(conn net.Conn) {
 				defer func() { _ = conn.Close() }()
-				take(conn)
+				readRequest(conn)
 				taken.Add(1)
 				if path == "/again/x" {
 					_, _ = io.WriteString(conn, answerHead("r1", "Content-Length: 5\r\n")+"whole")
 					return
 				}
 				_, _ = io.WriteString(conn, answerHead("r1", streamHead)+chunk(event(1))+chunk(event(2)))
-				_, _ = io.Copy(io.Discard, conn) // until the gateway hangs up
+				_, _ = io.Copy(io.Discard, conn) // until the gateway closes the connection
 			}
-			s := newSystem(t, serve, serve)
+			s := newFixture(t, serve, serve)
 			request := httptest.NewRequest(http.MethodPost, path, strings.NewReader("note"))
 			request.Host = "callers.example"
 			request.Header.Set("Nutmeglane-Request-Id", "r1")
 			func() {
 				defer func() {
-					if cause := recover(); cause != http.ErrAbortHandler { //nolint:errorlint // net/http compares it so
+					if cause := recover(); cause != http.ErrAbortHandler { //nolint:errorlint // net/http compares it in the same way
 						t.Errorf("the handler ended with %v", cause)
 					}
 				}()
-				s.gateway.ServeHTTP(leftCaller{httptest.NewRecorder()}, request)
+				s.gateway.ServeHTTP(disconnectedCaller{httptest.NewRecorder()}, request)
 			}()
 			if n := taken.Load(); n != 1 {
 				t.Errorf("%d servers got the request, want 1", n)
 			}
 			if n := s.gateway.ActiveRequests(); n != 0 {
-				t.Errorf("%d requests are left", n)
+				t.Errorf("%d active requests, want 0", n)
 			}
 		})
 	}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,5 +1,5 @@
-// Package gateway is the shell around a router's reducer: it takes callers'
-// requests over HTTP, sends them to backend servers as the reducer decides,
-// and passes answers back. Requests and answers flow through the goroutine
-// that serves the caller; everything that is decided is decided by the reducer.
+// Package gateway does the I/O for a router's reducer: it accepts callers' requests over
+// HTTP, sends them to backend servers as the reducer decides, and forwards the responses.
+// The goroutine that serves a caller copies the request and the response; the reducer makes
+// all decisions.
 package gateway
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// eventScanner cuts a stream of server-sent events (WHATWG HTML, "Server-sent
-// events") between events: a server that breaks off in the middle of one leaves
-// a part, which must not reach the caller when another server goes on.
+// eventScanner splits a stream of server-sent events (WHATWG HTML, "Server-sent events") into
+// complete events. If a server fails in the middle of an event, the incomplete part must not
+// be forwarded before another server resumes the stream.
 type eventScanner struct {
 	buffer []byte
-	// lastID is the id of the last whole event.
+	// lastID is the id of the last complete event that has one.
 	lastID string
-	// count is the number of whole events so far.
+	// count is the number of complete events so far.
 	count int
 }
 
@@ -19,9 +19,9 @@
 	idField      = []byte("id:")
 )
 
-// take adds bytes and returns the whole events among all that were added and
-// not returned yet. The result is valid until the next call.
-func (s *eventScanner) take(data []byte) []byte {
+// feed adds data and returns all complete events that were not returned yet. The result is
+// valid until the next call.
+func (s *eventScanner) feed(data []byte) []byte {
 	s.buffer = append(s.buffer, data...)
 	end := 0
 	for {
@@ -38,7 +38,8 @@
 	return events
 }
 
-// eventSize is the length of the first event with its end, 0 if it is not whole.
+// eventSize returns the length of the first event including its terminator, 0 if it is
+// incomplete.
 func eventSize(data []byte) int {
 	lf := bytes.Index(data, eventEnd)
 	crlf := bytes.Index(data, eventEndCRLF)
@@ -60,5 +61,5 @@
 	}
 }
 
-// rest is what came after the last whole event.
-func (s *eventScanner) rest() []byte { return s.buffer }
+// remainder returns the data after the last complete event.
+func (s *eventScanner) remainder() []byte { return s.buffer }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -13,18 +13,19 @@
 	"nutmeglane.example/nutmeglane/internal/router"
 )
 
-// Options are what a gateway needs around it.
+// Options are the dependencies of a gateway.
 type Options struct {
-	// Links carries out Dial, Hangup and Tell. It must not call back.
+	// Links connects to loaders and sends them messages. It must not call the gateway.
 	Links interface{ Do(core.Effect) bool }
-	// Publish carries out Publish. It must not call back. Nil where there is no store.
+	// Publish executes the effect of that name. It must not call the gateway. Nil if there
+	// is no store.
 	Publish func(router.Publish)
-	// LookIntoStore carries out the effect of that name. It must not call back. Nil where
-	// there is no store.
-	LookIntoStore func()
-	// Metrics carries out Count and Observe.
+	// RequestStoreRead requests a read of the platform's store soon. It must not call the
+	// gateway. Nil if there is no store.
+	RequestStoreRead func()
+	// Metrics updates counters and histograms.
 	Metrics interface{ Do(core.Effect) bool }
-	// Log takes lines about the process, Requests those about single requests.
+	// Log is the log of the process, Requests that of single requests.
 	Log, Requests *slog.Logger
 }
 
@@ -32,18 +33,18 @@
 type Gateway struct {
 	opts Options
 	pool *pool
-	// stopping is set once the process is to end: connections are closed
-	// after their answer.
+	// stopping is set when the process shuts down: callers' connections are closed after
+	// the response.
 	stopping atomic.Bool
 
-	mu     sync.Mutex
-	router *router.Router
-	timer  *time.Timer
-	calls  map[router.Key]*call
-	last   router.Key
+	mu      sync.Mutex
+	router  *router.Router
+	timer   *time.Timer
+	calls   map[router.Key]*call
+	lastKey router.Key
 }
 
-// New returns a gateway that runs the reducer.
+// New returns a gateway that runs the given reducer.
 func New(r *router.Router, opts Options) *Gateway {
 	g := &Gateway{opts: opts, pool: newPool(), router: r, calls: map[router.Key]*call{}}
 	g.timer = time.AfterFunc(time.Hour, func() { g.Step(router.Tick{}) })
@@ -51,7 +52,7 @@
 	return g
 }
 
-// Step feeds an event to the reducer and carries the effects out.
+// Step passes an event to the reducer and executes the resulting effects.
 func (g *Gateway) Step(event router.Event) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -60,22 +61,22 @@
 	}
 }
 
-// Inspect runs a function on the reducer between two steps.
+// Inspect calls f with the reducer between two steps. f must not call the gateway.
 func (g *Gateway) Inspect(f func(*router.Router)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(g.router)
 }
 
-// do carries out an effect. It holds g.mu and never blocks.
+// do executes an effect without blocking. The caller holds g.mu.
 func (g *Gateway) do(effect router.Effect) {
 	switch e := effect.(type) {
 	case router.Send:
-		g.decide(e.Key, e)
+		g.deliver(e.Key, e)
 	case router.Forward:
-		g.decide(e.Key, e)
+		g.deliver(e.Key, e)
 	case router.Finish:
-		g.decide(e.Key, e)
+		g.deliver(e.Key, e)
 	case router.Abandon:
 		if c := g.calls[e.Key]; c != nil {
 			c.abandon(e.Attempt)
@@ -107,8 +108,8 @@
 			g.opts.Publish(e)
 		}
 	case router.LookIntoStore:
-		if g.opts.LookIntoStore != nil {
-			g.opts.LookIntoStore()
+		if g.opts.RequestStoreRead != nil {
+			g.opts.RequestStoreRead()
 		}
 	case router.Wake:
 		g.timer.Reset(max(0, clock.Until(e.At)))
@@ -121,7 +122,7 @@
 	}
 }
 
-func (g *Gateway) decide(key router.Key, decision router.Effect) {
+func (g *Gateway) deliver(key router.Key, decision router.Effect) {
 	if c := g.calls[key]; c != nil {
 		c.decisions <- decision
 	}
@@ -135,13 +136,14 @@
 	logger.LogAttrs(context.Background(), slog.LevelInfo, e.Message, e.Attrs...)
 }
 
-// Stop makes answers close their connections from now on.
+// Stop makes the gateway close callers' connections after their next response.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Sweep closes connections to backend servers that were idle for too long.
+// Sweep closes the connections to backend servers whose idle timeout has expired. Call it
+// periodically.
 func (g *Gateway) Sweep() { g.pool.sweep(time.Now()) }
 
-// ActiveRequests is the number of requests in the process.
+// ActiveRequests returns the number of callers' requests in progress.
 func (g *Gateway) ActiveRequests() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,16 +153,16 @@
 func (g *Gateway) register(r *http.Request, body []byte) *call {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.last++
+	g.lastKey++
 	c := &call{
-		gateway: g, key: g.last, request: r, body: body,
+		gateway: g, key: g.lastKey, request: r, body: body,
 		decisions: make(chan router.Effect, maxDecisions),
 	}
 	g.calls[c.key] = c
 	return c
 }
 
-func (g *Gateway) forget(c *call) {
+func (g *Gateway) unregister(c *call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.calls, c.key)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,21 +18,21 @@
 	"nutmeglane.example/nutmeglane/internal/router"
 )
 
-// discard stands for links and metrics that nobody looks at.
-type discard struct{}
+// discardEffects implements Options.Links and Options.Metrics and ignores all effects.
+type discardEffects struct{}
 
-func (discard) Do(core.Effect) bool { return true }
+func (discardEffects) Do(core.Effect) bool { return true }
 
-// system is a gateway with callers' HTTP in front and fake servers behind.
-type system struct {
+// fixture is a gateway with an HTTP server for callers and fake backend servers.
+type fixture struct {
 	t       testing.TB
 	gateway *Gateway
 	callers *httptest.Server
 }
 
-// newSystem routes /stream/ (resumable), /once/ and /again/ to the servers, all
-// of which have model m1.
-func newSystem(t testing.TB, servers ...func(net.Conn)) *system {
+// newFixture returns a gateway that routes /stream/ (resumable), /once/ (non-idempotent) and
+// /again/ (idempotent) to servers that handle each connection with the given functions.
+func newFixture(t testing.TB, servers ...func(net.Conn)) *fixture {
 	t.Helper()
 	route := func(name string, kind fleet.Kind, attempts int, resumable bool) fleet.Route {
 		return fleet.Route{
@@ -51,7 +51,7 @@
 	}
 	list := map[string]fleet.Backend{}
 	for i, serve := range servers {
-		address, accepted := listener(t)
+		address, accepted := listen(t)
 		go func() {
 			for conn := range accepted {
 				go serve(conn)
@@ -62,15 +62,15 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	g := New(router.New(router.Options{Host: "r", Bounds: fleet.Bounds{RetrySlack: 100, RetryWindow: 10 * time.Second}}),
-		Options{Links: discard{}, Metrics: discard{}, Log: log, Requests: log})
+		Options{Links: discardEffects{}, Metrics: discardEffects{}, Log: log, Requests: log})
 	g.Step(router.ConfigRead{Config: config})
 	g.Step(router.BackendsRead{Backends: list})
 	callers := httptest.NewServer(g)
 	t.Cleanup(callers.Close)
-	return &system{t: t, gateway: g, callers: callers}
+	return &fixture{t: t, gateway: g, callers: callers}
 }
 
-func (s *system) call(method, path, id string) (int, string, error) {
+func (s *fixture) call(method, path, id string) (int, string, error) {
 	s.t.Helper()
 	request, err := http.NewRequest(method, s.callers.URL+path, strings.NewReader("note"))
 	if err != nil {
@@ -87,8 +87,8 @@
 	return response.StatusCode, string(body), err
 }
 
-// take reads a request from a connection and returns its head's lines.
-func take(conn net.Conn) string {
+// readRequest reads a request from a connection and returns its header lines.
+func readRequest(conn net.Conn) string {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return ""
@@ -109,50 +109,50 @@
 
 const streamHead = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
 
-// An engine crashes in the middle of an event. The user must get each event
-// once and whole: the half event is not passed on, and the other engine goes on
-// after the last whole one.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// An engine crashes in the middle of an event. The caller must get each event completely and
+// exactly once: the incomplete event is not forwarded, and the other engine resumes after the
+// last complete one.
+func TestStreamResumesOnAnotherServer(t *testing.T) {
 	serve := func(conn net.Conn) {
 		defer func() { _ = conn.Close() }()
-		head := take(conn)
+		head := readRequest(conn)
 		if strings.Contains(head, "Last-Event-Id: 2") {
 			_, _ = io.WriteString(conn, answerHead("r1", streamHead)+chunk(event(3))+chunk(event(4))+"0\r\n\r\n")
 			return
 		}
 		_, _ = io.WriteString(conn, answerHead("r1", streamHead)+chunk(event(1))+chunk(event(2)+"id: 3\nda"))
 	}
-	s := newSystem(t, serve, serve)
+	s := newFixture(t, serve, serve)
 	status, body, err := s.call(http.MethodPost, "/stream/x", "r1")
 	if want := event(1) + event(2) + event(3) + event(4); status != 200 || body != want || err != nil {
 		t.Fatalf("status %d, %v, body %q, want %q", status, err, body, want)
 	}
 }
 
-// An engine breaks a stream off, and the one that is to go on fails with a status
-// of its own. Its answer used to end the stream in good order, with three of eight
-// events: the user took half an answer for the whole. The stream must go on at a
-// third engine, or look broken.
-func TestFailureInTheMiddleOfAStreamIsNotItsEnd(t *testing.T) {
+// An engine fails in the middle of a stream, and the engine that should resume it responds with
+// an error status. If that response ended the stream normally, the caller would take an
+// incomplete response, for example three of eight events, for the complete one. The stream
+// must be resumed by a third engine or end with an error.
+func TestFailedResumptionDoesNotEndStream(t *testing.T) {
 	serve := func(conn net.Conn) {
 		defer func() { _ = conn.Close() }()
-		if !strings.Contains(take(conn), "Last-Event-Id") {
+		if !strings.Contains(readRequest(conn), "Last-Event-Id") {
 			_, _ = io.WriteString(conn, answerHead("r1", streamHead)+chunk(event(1)))
 			return
 		}
 		failure := strings.Replace(answerHead("r1", "Content-Length: 0\r\n"), "200 OK", "500 Failed", 1)
 		_, _ = io.WriteString(conn, failure)
 	}
-	s := newSystem(t, serve, serve)
+	s := newFixture(t, serve, serve)
 	if status, body, err := s.call(http.MethodPost, "/stream/x", "r1"); err == nil {
 		t.Fatalf("status %d, body %q, and no error", status, body)
 	}
 }
 
-// No engine can go on with a stream that broke off. It must not look complete.
-func TestBrokenStreamLooksBroken(t *testing.T) {
-	s := newSystem(t, func(conn net.Conn) {
-		take(conn)
+// A stream that was interrupted and can't be resumed by any engine must not look complete.
+func TestBrokenStreamIsReportedAsBroken(t *testing.T) {
+	s := newFixture(t, func(conn net.Conn) {
+		readRequest(conn)
 		_, _ = io.WriteString(conn, answerHead("r1", streamHead)+chunk(event(1)))
 		_ = conn.Close()
 	})
@@ -162,12 +162,12 @@
 	}
 }
 
-// A faulty server sends a second answer to the request before. The next user's
-// request on that connection must get its own answer, not the stray one.
+// A faulty server sends a second response to the previous request. The next request on that
+// connection must get its own response.
 func TestStrayAnswerIsNotDelivered(t *testing.T) {
-	s := newSystem(t, func(conn net.Conn) {
+	s := newFixture(t, func(conn net.Conn) {
 		defer func() { _ = conn.Close() }()
-		take(conn)
+		readRequest(conn)
 		stray := answerHead("other", "Content-Length: 5\r\n") + "wrong"
 		own := answerHead("r1", "Content-Length: 5\r\n") + "right"
 		_, _ = io.WriteString(conn, stray+own)
@@ -177,32 +177,33 @@
 	}
 }
 
-// A server breaks an answer off. An idempotent request is answered by another
-// server, whole; one that may run once gets a failure that promises nothing.
+// A server truncates a response. An idempotent request must get the complete response of
+// another server. A non-idempotent one must fail with a status that leaves open whether it was
+// executed.
 func TestTruncatedAnswer(t *testing.T) {
 	truncated := func(conn net.Conn) {
-		take(conn)
+		readRequest(conn)
 		_, _ = io.WriteString(conn, answerHead("r1", "Content-Length: 50\r\n")+"half")
 		_ = conn.Close()
 	}
 	whole := func(conn net.Conn) {
-		take(conn)
+		readRequest(conn)
 		_, _ = io.WriteString(conn, answerHead("r1", "Content-Length: 5\r\n")+"whole")
 		_ = conn.Close()
 	}
-	if status, body, err := newSystem(t, truncated, whole).call(http.MethodGet, "/again/x", "r1"); status != 200 || body != "whole" || err != nil {
+	if status, body, err := newFixture(t, truncated, whole).call(http.MethodGet, "/again/x", "r1"); status != 200 || body != "whole" || err != nil {
 		t.Errorf("idempotent: status %d, %v, body %q", status, err, body)
 	}
-	if status, _, err := newSystem(t, truncated).call(http.MethodPost, "/once/x", "r1"); status != 502 || err != nil {
+	if status, _, err := newFixture(t, truncated).call(http.MethodPost, "/once/x", "r1"); status != 502 || err != nil {
 		t.Errorf("non-idempotent: status %d, %v, want 502", status, err)
 	}
 }
 
-// A success without the server's seal is not the server's: something between
-// answered, or the bytes are spoilt. A user must not take it for the answer.
+// A success response without the server's seal was generated by something between the router
+// and the server, or is corrupted. It must not be forwarded to the caller.
 func TestUnsealedSuccessIsNotDelivered(t *testing.T) {
-	s := newSystem(t, func(conn net.Conn) {
-		take(conn)
+	s := newFixture(t, func(conn net.Conn) {
+		readRequest(conn)
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nNutmeglane-Request-Id: r1\r\nContent-Length: 4\r\n\r\nfake")
 		_ = conn.Close()
 	})
@@ -211,7 +212,8 @@
 	}
 }
 
-// Events arrive cut at any byte, with either line end. Only whole ones go on.
+// FuzzEventScanner splits events at any byte, with either line ending. Only complete events may
+// be returned, and no byte may be lost.
 func FuzzEventScanner(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3"), 3)
 	f.Add([]byte("\n\n\r\n\r\n"), 1)
@@ -223,14 +225,14 @@
 		var got []byte
 		for rest := data; len(rest) > 0; {
 			n := min(step, len(rest))
-			got = append(got, s.take(rest[:n])...)
+			got = append(got, s.feed(rest[:n])...)
 			rest = rest[n:]
 		}
-		if all := append(got, s.rest()...); !bytes.Equal(all, data) {
+		if all := append(got, s.remainder()...); !bytes.Equal(all, data) {
 			t.Fatalf("bytes were lost or added: %q of %q", all, data)
 		}
-		if eventSize(s.rest()) != 0 {
-			t.Fatalf("a whole event was held back: %q", s.rest())
+		if eventSize(s.remainder()) != 0 {
+			t.Fatalf("a complete event was not returned: %q", s.remainder())
 		}
 	})
 }
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -13,100 +13,103 @@
 )
 
 const (
-	// dialTimeout bounds a connection to a backend server: a local network
-	// answers within milliseconds, and a lost first packet is sent again after
-	// a second, which is as long as a caller's objective.
+	// dialTimeout is the timeout for connecting to a backend server. A local network
+	// responds within milliseconds. A lost SYN packet would only be retransmitted after 1 s,
+	// which is as long as a caller's latency objective.
 	dialTimeout = 700 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes are not acknowledged. It
-	// finds a host that lost power or a path that went silent.
+	// unackedTimeout closes a connection whose data is not acknowledged (TCP_USER_TIMEOUT).
+	// It detects a host that lost power or a network path that drops all packets.
 	unackedTimeout = 2 * time.Second
-	// idleLimit closes connections that were not used for long, unless the
-	// server named a shorter time.
-	idleLimit = 10 * time.Second
-	// idleMargin is kept from the time that the server named: a request must
-	// not cross the server's close.
+	// maxIdle is the time after which an idle connection is closed, unless the server
+	// announced a shorter one.
+	maxIdle = 10 * time.Second
+	// idleMargin is subtracted from the time that the server announced, so that a request is
+	// not sent while the server closes the connection.
 	idleMargin = time.Second
-	// readerBytes is the buffer of a connection; most events are below 1 KB.
+	// readerBytes is the size of a connection's read buffer; most events are below 1 KB.
 	readerBytes = 4 << 10
 )
 
-var errNoConnFree = errors.New("all connections to the server are in use")
+var errConnLimit = errors.New("all connections to the server are in use")
 
-// pool holds the connections to backend servers.
+// pool manages the connections to backend servers, by address. It is safe for concurrent use.
 type pool struct {
-	mu    sync.Mutex
-	hosts map[string]*hostConns
+	mu      sync.Mutex
+	servers map[string]*serverConns
 }
 
-type hostConns struct {
+// serverConns are the connections to one server. open counts those in use and the idle ones.
+type serverConns struct {
 	idle []*upstream
 	open int
 }
 
-// upstream is a connection to a backend server. It serves one request at a
-// time.
+// upstream is a connection to a backend server. It is used for one request at a time.
 type upstream struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	used    bool
-	// idleUntil is when it is too old for another request.
+	// used is set after the first complete response.
+	used bool
+	// idleUntil is the time after which an idle connection is not used again.
 	idleUntil time.Time
 	once      sync.Once
 	pool      *pool
 }
 
-func newPool() *pool { return &pool{hosts: map[string]*hostConns{}} }
+func newPool() *pool { return &pool{servers: map[string]*serverConns{}} }
 
-// get returns an idle connection, or dials one if there are fewer than most.
-func (p *pool) get(ctx context.Context, address string, most int) (*upstream, error) {
+// get returns an idle connection, or opens a new one if fewer than maxConns are open.
+// Otherwise it returns errConnLimit.
+func (p *pool) get(ctx context.Context, address string, maxConns int) (*upstream, error) {
 	for {
-		u, full := p.takeIdle(address, most)
+		u, full := p.takeIdle(address, maxConns)
 		if full {
-			return nil, errNoConnFree
+			return nil, errConnLimit
 		}
 		if u == nil {
 			break
 		}
-		if time.Now().Before(u.idleUntil) && u.quiet() {
+		if time.Now().Before(u.idleUntil) && u.usable() {
 			return u, nil
 		}
 		u.discard()
 	}
 	conn, err := dial(ctx, address)
 	if err != nil {
-		p.closed(address)
+		p.connClosed(address)
 		return nil, err
 	}
 	return &upstream{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readerBytes), pool: p}, nil
 }
 
-// takeIdle takes the connection that was used last. Without one it counts a
-// new one, unless the host is full.
-func (p *pool) takeIdle(address string, most int) (u *upstream, full bool) {
+// takeIdle removes and returns the idle connection that was used last. If there is none, it
+// returns nil and counts a new connection as open, unless maxConns are open already.
+func (p *pool) takeIdle(address string, maxConns int) (u *upstream, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.servers[address]
 	if h == nil {
-		h = &hostConns{}
-		p.hosts[address] = h
+		h = &serverConns{}
+		p.servers[address] = h
 	}
 	if n := len(h.idle); n > 0 {
 		u = h.idle[n-1]
 		h.idle = h.idle[:n-1]
 		return u, false
 	}
-	if h.open >= most {
+	if h.open >= maxConns {
 		return nil, true
 	}
 	h.open++
 	return nil, false
 }
 
-// put gives a connection back after an answer that ended cleanly.
+// put returns a connection to the pool after a complete response. idle is the time that the
+// server keeps it open, 0 if unknown.
 func (p *pool) put(u *upstream, idle time.Duration) {
-	if idle == 0 || idle > idleLimit {
-		idle = idleLimit
+	if idle == 0 || idle > maxIdle {
+		idle = maxIdle
 	} else {
 		idle -= idleMargin
 	}
@@ -116,29 +119,29 @@
 	}
 	u.used = true
 	u.idleUntil = time.Now().Add(idle)
-	_ = u.SetDeadline(time.Time{}) // fails only on a closed connection, which quiet finds
+	_ = u.SetDeadline(time.Time{}) // fails only on a closed connection, which usable detects
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[u.address]
+	h := p.servers[u.address]
 	h.idle = append(h.idle, u)
 }
 
-func (p *pool) closed(address string) {
+func (p *pool) connClosed(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.servers[address]
 	h.open--
 	if h.open == 0 {
-		delete(p.hosts, address)
+		delete(p.servers, address)
 	}
 }
 
-// dropIdle closes the idle connections to a server that did not answer: what
-// silenced one connection may have silenced all.
+// dropIdle closes the idle connections to a server that did not respond or was restarted. What
+// made one connection unresponsive may affect all of them.
 func (p *pool) dropIdle(address string) {
 	p.mu.Lock()
 	var idle []*upstream
-	if h := p.hosts[address]; h != nil {
+	if h := p.servers[address]; h != nil {
 		idle, h.idle = h.idle, nil
 	}
 	p.mu.Unlock()
@@ -147,11 +150,11 @@
 	}
 }
 
-// sweep closes connections that were idle for too long.
+// sweep closes the connections whose idle timeout has expired.
 func (p *pool) sweep(now time.Time) {
 	p.mu.Lock()
 	var old []*upstream
-	for _, h := range p.hosts {
+	for _, h := range p.servers {
 		kept := h.idle[:0]
 		for _, u := range h.idle {
 			if now.Before(u.idleUntil) {
@@ -170,10 +173,10 @@
 
 // abort resets a connection whose request has not ended.
 //
-// It guards against a request that arrives after its caller has left: behind a
-// path that is cut, its bytes wait in our socket, and an ordinary close sends
-// them first once the path heals. The server would run it for nobody, and a
-// caller who came back would have two runs. A reset drops them.
+// While a network path is interrupted, the request's bytes wait in the socket's send buffer.
+// An ordinary close would deliver them when the path recovers, after the caller has
+// disconnected: the server would execute the request without a recipient, and a second time
+// for a caller who retries. A reset discards the bytes.
 func (u *upstream) abort() {
 	if tcp, ok := u.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // fails only on a closed connection
@@ -181,21 +184,20 @@
 	u.discard()
 }
 
-// discard closes a connection for good.
+// discard closes a connection and removes it from the pool's count. It may be called repeatedly.
 func (u *upstream) discard() {
 	u.once.Do(func() {
 		_ = u.Close()
-		u.pool.closed(u.address)
+		u.pool.connClosed(u.address)
 	})
 }
 
-// quiet tells that the server has neither closed the connection nor sent
-// anything unasked, without taking anything from it.
+// usable reports whether the server has neither closed the idle connection nor sent unexpected
+// data on it. It does not consume any data.
 //
-// It guards against a server that closed an idle connection, or that sent a
-// second answer on it: a request sent then may or may not run, and the stray
-// answer would be taken for its own.
-func (u *upstream) quiet() bool {
+// A request on a closed connection may or may not be executed. A second response that a faulty
+// server sent on the idle connection would be taken for the response to the next request.
+func (u *upstream) usable() bool {
 	if u.reader.Buffered() > 0 {
 		return false
 	}
--- a/internal/gateway/pool_test.go
+++ b/internal/gateway/pool_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// listener accepts connections and hands them to the test.
-func listener(t testing.TB) (address string, accepted chan net.Conn) {
+// listen accepts connections on a local address and passes them to the test.
+func listen(t testing.TB) (address string, accepted chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return l.Addr().String(), accepted
 }
 
-func get(t *testing.T, p *pool, address string) *upstream {
+func mustGet(t *testing.T, p *pool, address string) *upstream {
 	t.Helper()
 	u, err := p.get(context.Background(), address, 4)
 	if err != nil {
@@ -40,13 +40,13 @@
 	return u
 }
 
-// A caller leaves while the path to the server is cut. Its request's bytes were
-// delivered once the path healed, three seconds later, and the server ran a
-// request that nobody waited for. A reset drops what has not arrived; the
-// server sees it as an error, not as an orderly end.
+// A caller disconnects while the network path to the server is interrupted. With an ordinary
+// close, the request's bytes are delivered when the path recovers, for example 3 s later, and the
+// server executes a request without a recipient. The connection must be reset: this discards
+// undelivered data, and the server gets an error instead of the end of the stream.
 func TestAbortedConnectionIsReset(t *testing.T) {
-	address, accepted := listener(t)
-	u := get(t, newPool(), address)
+	address, accepted := listen(t)
+	u := mustGet(t, newPool(), address)
 	server := <-accepted
 	if _, err := u.Write([]byte("POST / HTTP/1.1\r\n")); err != nil {
 		t.Fatal(err)
@@ -57,11 +57,11 @@
 	}
 }
 
-// A server closes an idle connection, or sends a second answer on it. The next
-// request must go out on another connection: on the first it might run without
-// an answer, or get the stray one.
-func TestSpoiltIdleConnectionIsNotUsed(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn) error{
+// A server closes an idle connection or sends a second response on it. The next request must
+// use another connection: on the first one, it might be executed without a response, or get
+// the wrong one.
+func TestUnusableIdleConnectionIsNotReused(t *testing.T) {
+	for name, disturb := range map[string]func(net.Conn) error{
 		"closed": net.Conn.Close,
 		"answered twice": func(c net.Conn) error {
 			_, err := c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n"))
@@ -69,33 +69,32 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, accepted := listener(t)
+			address, accepted := listen(t)
 			p := newPool()
-			first := get(t, p, address)
+			first := mustGet(t, p, address)
 			server := <-accepted
 			p.put(first, 0)
-			if err := spoil(server); err != nil {
+			if err := disturb(server); err != nil {
 				t.Fatal(err)
 			}
-			// Waits until the end or the bytes have arrived, so that the test
-			// does not race with the loopback.
+			// Waits until the end of the stream or the bytes have arrived over loopback.
 			_, _ = first.reader.Peek(1)
-			if again := get(t, p, address); again == first {
-				t.Fatal("the spoilt connection was used again")
+			if again := mustGet(t, p, address); again == first {
+				t.Fatal("the unusable connection was used again")
 			}
 		})
 	}
 }
 
-// Connections to a server are shared by all routers: each must keep to its
-// part, or the server resets what is above its limit.
+// All routers share the connection limit of a server. Each must keep to its share, or the
+// server resets the connections above its limit.
 func TestConnectionsAreBounded(t *testing.T) {
-	address, _ := listener(t)
+	address, _ := listen(t)
 	p := newPool()
 	for range 4 {
-		get(t, p, address)
+		mustGet(t, p, address)
 	}
-	if _, err := p.get(context.Background(), address, 4); !errors.Is(err, errNoConnFree) {
+	if _, err := p.get(context.Background(), address, 4); !errors.Is(err, errConnLimit) {
 		t.Fatalf("error %v, want errNoConnFree", err)
 	}
 }
--- a/internal/gateway/stream_bench_test.go
+++ b/internal/gateway/stream_bench_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// benchEvents are the events of one answer: requests of the users have 10 to 35.
+// benchEvents is the number of events in a response; real responses have 10 to 35.
 const benchEvents = 14
 
-// streamForever answers each request of a connection with a stream, one write an
+// serveStreams responds to each request of a connection with a stream, with one write per
 // event, as engines do.
-func streamForever(conn net.Conn) {
+func serveStreams(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -31,10 +31,10 @@
 	}
 }
 
-// BenchmarkStream is one streamed answer through the gateway over loopback,
-// with its caller and server.
+// BenchmarkStream measures a streamed response through the gateway over loopback, including
+// the caller and the server.
 func BenchmarkStream(b *testing.B) {
-	s := newSystem(b, streamForever)
+	s := newFixture(b, serveStreams)
 	b.ReportAllocs()
 	for i := range b.N {
 		if status, _, err := s.call(http.MethodPost, "/stream/x", "r"+strconv.Itoa(i)); status != http.StatusOK || err != nil {
