--- a/internal/core/digest.go
+++ b/internal/core/digest.go
@@ -43,9 +43,9 @@
 	h.Running, h.Waiting, h.Unread, h.FreeMB, h.IdleMB = c.Running, c.Waiting, c.Unread, c.FreeMB, c.IdleMB
 }
 
-// About tells whether two counts make no difference to where a router sends a request: of
+// ApproxEqual tells whether two counts make no difference to where a router sends a request: of
 // an engine's requests one or two always come and go.
-func (c Counts) About(other Counts) bool {
+func (c Counts) ApproxEqual(other Counts) bool {
 	near := func(x, y int) bool { return max(x-y, y-x) <= max(countsOff, max(x, y)/4) }
 	return near(c.Running+c.Waiting, other.Running+other.Waiting) && near(c.Unread, other.Unread)
 }
@@ -54,9 +54,9 @@
 // prompts, may be off untold; of larger counts it is a quarter.
 const countsOff = 1
 
-// Expects tells whether the router that says so waits for words of the loader itself:
+// ExpectsUpdates tells whether the router that says so waits for words of the loader itself:
 // requests of its wait there or run there, or it asks for them.
-func (d *Demand) Expects() bool {
+func (d *Demand) ExpectsUpdates() bool {
 	if d.Direct || len(d.Wants) > 0 {
 		return true
 	}
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -5,8 +5,8 @@
 // This file holds what routers and loaders tell each other about the limits of backend
 // servers. See package limit.
 
-// LimitWord is what a backend server told of its limit with one answer.
-type LimitWord struct {
+// ReportedLimit is what a backend server told of its limit with one answer.
+type ReportedLimit struct {
 	_ struct{} `cbor:",toarray"`
 	// Named is false where it named none.
 	Named bool
@@ -20,8 +20,8 @@
 // LimitAsk is a router's word on a server's limit to the loader that keeps it, and, if Ask
 // is set, its question whether it may send a request there.
 type LimitAsk struct {
-	Server ServerLife `cbor:"1,keyasint"`
-	Word   LimitWord  `cbor:"2,keyasint"`
+	Server ServerLife    `cbor:"1,keyasint"`
+	Limit  ReportedLimit `cbor:"2,keyasint"`
 	// Ask names the request, 0 if nothing is asked. The answer bears it.
 	Ask uint64 `cbor:"3,keyasint,omitempty"`
 	// Spare is set if another server could serve the request.
@@ -34,8 +34,8 @@
 // LimitTold is a loader's word on a server's limit to routers: the answer to a question, or
 // news.
 type LimitTold struct {
-	Server ServerLife `cbor:"1,keyasint"`
-	Word   LimitWord  `cbor:"2,keyasint"`
+	Server ServerLife    `cbor:"1,keyasint"`
+	Limit  ReportedLimit `cbor:"2,keyasint"`
 	// Ask is that of the question, 0 if this is news.
 	Ask uint64 `cbor:"3,keyasint,omitempty"`
 	// Granted allows the request; else Room is when there will be room for one.
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -9,11 +9,11 @@
 // below a request's own header.
 func TestLimitMessagesAreSmall(t *testing.T) {
 	server := ServerLife{Instance: "i-4f6d9f84b0", Born: 1764745965123}
-	word := LimitWord{Named: true, PerSecond: 4.7, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond}
+	word := ReportedLimit{Named: true, PerSecond: 4.7, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond}
 	const most = 100
 	for _, m := range []Message{
-		LimitAsk{Server: server, Word: word, Ask: 123456, Spare: true},
-		LimitTold{Server: server, Word: word, Ask: 123456, Room: 380 * time.Millisecond},
+		LimitAsk{Server: server, Limit: word, Ask: 123456, Spare: true},
+		LimitTold{Server: server, Limit: word, Ask: 123456, Room: 380 * time.Millisecond},
 	} {
 		data, err := EncodeMessage(m)
 		if err != nil {
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -201,7 +201,7 @@
 		return
 	}
 	for i, g := range p.gates {
-		if p.reaches(now, i) && g.Hear(now.Add(2*wayDelay), WordOf(now.Add(2*wayDelay), news.Word)) {
+		if p.reaches(now, i) && g.Hear(now.Add(2*wayDelay), WordOf(now.Add(2*wayDelay), news.Limit)) {
 			p.ask(now.Add(3*wayDelay), i, 0, false)
 		}
 	}
@@ -210,7 +210,7 @@
 func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, news *core.LimitTold) {
 	g := p.gates[router]
 	return p.keeper.Ask(now, core.LimitAsk{
-		Server: core.ServerLife{Instance: "server"}, Word: g.Told(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
+		Server: core.ServerLife{Instance: "server"}, Limit: g.Told(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
 	})
 }
 
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -76,7 +76,7 @@
 }
 
 // Told is what is known of the limit, as messages have it.
-func (g *Gate) Told(now core.Time) core.LimitWord { return g.word.told(now) }
+func (g *Gate) Told(now core.Time) core.ReportedLimit { return g.word.told(now) }
 
 // TakeUncounted returns what was sent without asking, to be told to the loader that
 // counts; nil if there is nothing.
--- a/internal/limit/keeper.go
+++ b/internal/limit/keeper.go
@@ -43,7 +43,7 @@
 	}
 	s.heardAt = now
 	before := s.word.Named
-	changed := s.hear(now, ask.Word)
+	changed := s.hear(now, ask.Limit)
 	s.bucket.sent.AddParts(now, ask.Uncounted)
 	if changed && (before || s.word.Named) {
 		news = s.told(now)
@@ -76,7 +76,7 @@
 	return &core.LimitTold{Server: ask.Server, Ask: ask.Ask, Spare: ask.Spare, Room: longestLine}
 }
 
-func (s *kept) hear(now core.Time, told core.LimitWord) (changed bool) {
+func (s *kept) hear(now core.Time, told core.ReportedLimit) (changed bool) {
 	s.word, changed = s.word.Follow(WordOf(now, told))
 	if changed && s.word.Named {
 		s.bucket.setRate(now, max(LeastPerSecond, s.word.PerSecond))
@@ -104,7 +104,7 @@
 
 // told is what routers are told of a server's limit.
 func (s *kept) told(now core.Time) *core.LimitTold {
-	return &core.LimitTold{Server: s.life, Word: s.word.told(now)}
+	return &core.LimitTold{Server: s.life, Limit: s.word.told(now)}
 }
 
 // All returns what a router that has just connected is to know: the limits that hold.
@@ -148,7 +148,7 @@
 }
 
 // WordOf is a message's word in this process's time.
-func WordOf(now core.Time, told core.LimitWord) Word {
+func WordOf(now core.Time, told core.ReportedLimit) Word {
 	if told.HeardAgo == 0 {
 		return Word{} // nothing was heard yet; see Word.told
 	}
@@ -159,11 +159,11 @@
 }
 
 // told is the word as messages have it. Of one that was heard, HeardAgo is never 0.
-func (w Word) told(now core.Time) core.LimitWord {
+func (w Word) told(now core.Time) core.ReportedLimit {
 	if !w.known() {
-		return core.LimitWord{}
+		return core.ReportedLimit{}
 	}
-	return core.LimitWord{
+	return core.ReportedLimit{
 		Named: w.Named, PerSecond: w.PerSecond, SentAgo: now.Sub(w.Sent), HeardAgo: max(1, now.Sub(w.Heard)),
 	}
 }
--- a/internal/limit/keeper_test.go
+++ b/internal/limit/keeper_test.go
@@ -12,7 +12,7 @@
 func asks(born int64, perSecond float64, request uint64) core.LimitAsk {
 	return core.LimitAsk{
 		Server: life(born), Ask: request,
-		Word: core.LimitWord{Named: true, PerSecond: perSecond, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond},
+		Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond},
 	}
 }
 
@@ -95,18 +95,18 @@
 	k := NewKeeper()
 	at := start
 	for i, step := range []struct {
-		word core.LimitWord
+		word core.ReportedLimit
 		news bool
 	}{
-		{core.LimitWord{}, false},
-		{asks(0, 5, 0).Word, true},
-		{asks(0, 5, 0).Word, false},
-		{asks(0, 9, 0).Word, true},
-		{core.LimitWord{SentAgo: 2, HeardAgo: 1}, true},
-		{core.LimitWord{SentAgo: 2, HeardAgo: 1}, false},
+		{core.ReportedLimit{}, false},
+		{asks(0, 5, 0).Limit, true},
+		{asks(0, 5, 0).Limit, false},
+		{asks(0, 9, 0).Limit, true},
+		{core.ReportedLimit{SentAgo: 2, HeardAgo: 1}, true},
+		{core.ReportedLimit{SentAgo: 2, HeardAgo: 1}, false},
 	} {
 		at = at.Add(time.Second)
-		_, news := k.Ask(at, core.LimitAsk{Server: life(0), Word: step.word})
+		_, news := k.Ask(at, core.LimitAsk{Server: life(0), Limit: step.word})
 		if (news != nil) != step.news {
 			t.Errorf("word %d: news %+v", i, news)
 		}
--- a/internal/loader/limits.go
+++ b/internal/loader/limits.go
@@ -19,7 +19,7 @@
 		return
 	}
 	l.log("limit of a backend server", slog.String("instance", news.Server.Instance), slog.Int64("born", news.Server.Born),
-		slog.Bool("named", news.Word.Named), slog.Float64("per_second", news.Word.PerSecond), slog.String("told_by", string(e.Router)))
+		slog.Bool("named", news.Limit.Named), slog.Float64("per_second", news.Limit.PerSecond), slog.String("told_by", string(e.Router)))
 	l.emit(TellLimit{Routers: l.names, Told: *news})
 }
 
--- a/internal/loader/limits_test.go
+++ b/internal/loader/limits_test.go
@@ -14,17 +14,17 @@
 	for _, name := range []core.HostID{"r1", "r2"} {
 		w.step(RouterUp{Router: name})
 	}
-	word := core.LimitWord{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
+	word := core.ReportedLimit{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
 	server := core.ServerLife{Instance: "s"}
-	w.step(RouterAskedLimit{Router: "r1", Ask: core.LimitAsk{Server: server, Word: word}})
+	w.step(RouterAskedLimit{Router: "r1", Ask: core.LimitAsk{Server: server, Limit: word}})
 	w.step(RouterUp{Router: "r3"})
 	for _, name := range []core.HostID{"r1", "r2", "r3"} {
 		told := w.limits[name]
-		if len(told) != 1 || told[0].Server != server || !told[0].Word.Named || told[0].Word.PerSecond != 3 {
+		if len(told) != 1 || told[0].Server != server || !told[0].Limit.Named || told[0].Limit.PerSecond != 3 {
 			t.Errorf("%s was told %+v, want the limit once", name, told)
 		}
 	}
-	w.step(RouterAskedLimit{Router: "r2", Ask: core.LimitAsk{Server: server, Word: word, Ask: 7}})
+	w.step(RouterAskedLimit{Router: "r2", Ask: core.LimitAsk{Server: server, Limit: word, Ask: 7}})
 	if n := len(w.limits["r1"]) + len(w.limits["r3"]); n != 2 {
 		t.Errorf("the others were told %d times of a question", n-2)
 	}
--- a/internal/loader/tell.go
+++ b/internal/loader/tell.go
@@ -101,7 +101,7 @@
 	case due.heartbeat:
 		t.at = l.now
 		l.tellCounts(holdings)
-	case l.now.Sub(t.countsAt) >= l.countsInterval() && !holdings.Counts().About(t.holdings.Counts()):
+	case l.now.Sub(t.countsAt) >= l.countsInterval() && !holdings.Counts().ApproxEqual(t.holdings.Counts()):
 		l.tellCounts(holdings)
 	}
 }
@@ -121,7 +121,7 @@
 
 // hears tells whether a router hears heartbeats and counts of this loader itself.
 func (l *Loader) hears(r *router) bool {
-	return !l.digested || r.demand.Expects() || r.name == l.coordinator()
+	return !l.digested || r.demand.ExpectsUpdates() || r.name == l.coordinator()
 }
 
 // countsInterval is the least time between two words on counts.
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -57,7 +57,7 @@
 	if !l.dirty && past < demandKeepalive && sameDemand(l.told, demand, past) {
 		return
 	}
-	if demand.Expects() && !l.told.Expects() {
+	if demand.ExpectsUpdates() && !l.told.ExpectsUpdates() {
 		l.expectedSince = r.now
 	}
 	l.dirty, l.toldAt, l.told = false, r.now, demand
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -104,7 +104,7 @@
 // changed, changed in the last one, or have their turn.
 func (r *Router) worthDigesting(l *loader, place int) bool {
 	counts := l.holdings.Counts()
-	if changed := !counts.About(l.digested.counts); changed || place%digestRounds == r.digests.sent%digestRounds {
+	if changed := !counts.ApproxEqual(l.digested.counts); changed || place%digestRounds == r.digests.sent%digestRounds {
 		l.digested = digested{counts: counts, again: changed}
 		return true
 	}
@@ -159,7 +159,7 @@
 	switch {
 	case !r.byDigest(l):
 		return 0
-	case l.told.Expects():
+	case l.told.ExpectsUpdates():
 		return l.expectedSince
 	default:
 		return core.Never
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -62,7 +62,7 @@
 	}
 	life := fleet.Incarnation{Instance: e.Told.Server.Instance, Born: e.Told.Server.Born}
 	if life.Compare(b.Incarnation) == 0 {
-		r.hearLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Told.Word))
+		r.hearLimit(b, "loader "+string(e.Loader), limit.WordOf(r.now, e.Told.Limit))
 	}
 	if e.Told.Ask != 0 {
 		r.permitAnswered(b, e.Told)
@@ -166,7 +166,7 @@
 
 func (r *Router) limitWord(b *backend) core.LimitAsk {
 	return core.LimitAsk{
-		Server: lifeOf(b.Incarnation), Word: b.limit.gate.Told(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
+		Server: lifeOf(b.Incarnation), Limit: b.limit.gate.Told(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
 	}
 }
 
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -84,7 +84,7 @@
 func (w *world) limitS0(perSecond float64) {
 	w.t.Helper()
 	w.step(LoaderLimited{Loader: "10.9.0.1", Told: core.LimitTold{
-		Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: perSecond, SentAgo: 2, HeardAgo: 1},
+		Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 2, HeardAgo: 1},
 	}})
 }
 
@@ -102,7 +102,7 @@
 	w.t.Helper()
 	ask := w.lastAsk()
 	w.step(LoaderLimited{Loader: "10.9.0.1", Told: core.LimitTold{
-		Server: ask.Server, Word: ask.Word, Ask: ask.Ask, Spare: ask.Spare, Granted: granted, Room: room,
+		Server: ask.Server, Limit: ask.Limit, Ask: ask.Ask, Spare: ask.Spare, Granted: granted, Room: room,
 	}})
 }
 
@@ -179,7 +179,7 @@
 	w.holds(1, core.Holdings{Instance: "s1", FreeMB: 80_000})
 	waiting := w.call("patient", prompt("m1"))
 	w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{
-		Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
+		Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
 	}})
 	w.holds(0, core.Holdings{Instance: "s0", Models: loadedModels("m1"), OnDisk: []string{"m1"}})
 	w.step(AttemptFailed{Key: resumed, Attempt: send.Attempt, Failure: Broken})
@@ -247,14 +247,14 @@
 		w.holds(0, core.Holdings{Instance: "s0", Models: loadedModels("m1")})
 		w.holds(1, core.Holdings{Instance: "s1", FreeMB: 80_000, OnDisk: []string{"m1"}})
 		w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{
-			Server: core.ServerLife{Instance: "s0"}, Word: core.LimitWord{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
+			Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
 		}})
 		key := w.call("patient", prompt("m1"))
 		ask := w.lastAsk()
 		if ask.Spare {
 			t.Error("asked as if another engine could serve it")
 		}
-		w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{Server: ask.Server, Word: ask.Word, Ask: ask.Ask, Room: test.room}})
+		w.step(LoaderLimited{Loader: loaderName(0), Told: core.LimitTold{Server: ask.Server, Limit: ask.Limit, Ask: ask.Ask, Room: test.room}})
 		state := w.router.Dump().Waits
 		if len(state) != 1 || state[0].Home != test.want {
 			t.Fatalf("room in %v: waits %+v, want one at %s; ended: %+v", test.room, state, test.want, w.finishes[key])
