--- a/internal/core/codec.go
+++ b/internal/core/codec.go
@@ -15,7 +15,7 @@
 	Body cbor.RawMessage
 }
 
-// catalog maps type numbers to types, both ways.
+// catalog maps type numbers to types and back.
 type catalog struct {
 	byNumber map[uint16]reflect.Type
 	byType   map[reflect.Type]uint16
@@ -102,8 +102,8 @@
 	})
 )
 
-// Limits of decoding: a peer or a KV value can't make a process allocate more
-// than this many array or map elements at once, or nest deeper.
+// Limits of decoding. They bound the elements of one array or map and the nesting
+// depth that a message or a KV value can make a process allocate.
 const (
 	maxElements = 1 << 17
 	maxNesting  = 16
@@ -122,8 +122,8 @@
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxElements,
 		MaxNestedLevels:  maxNesting,
-		// Header values of callers may hold any bytes. Were they refused here,
-		// one caller could end a connection with every stream on it.
+		// Header values of callers may hold any bytes. If they were refused here,
+		// one caller could end a connection together with all streams on it.
 		UTF8: cbor.UTF8DecodeInvalid,
 	}.DecMode()
 	if err != nil {
@@ -132,10 +132,10 @@
 	return mode
 }
 
-// EncodeMessage returns the wire form of a message.
+// EncodeMessage returns the wire encoding of a message.
 func EncodeMessage(m Message) ([]byte, error) { return messages.encode(m) }
 
-// DecodeMessage reads the wire form of a message.
+// DecodeMessage decodes the wire encoding of a message.
 func DecodeMessage(data []byte) (Message, error) {
 	value, err := messages.decode(data)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return value.(Message), nil
 }
 
-// DecodeFirstMessage reads the first message of a sequence and returns the rest.
+// DecodeFirstMessage decodes the first message of a sequence and returns the rest.
 func DecodeFirstMessage(data []byte) (m Message, rest []byte, err error) {
 	value, rest, err := messages.decodeFirst(data)
 	if err != nil {
@@ -153,10 +153,10 @@
 	return value.(Message), rest, nil
 }
 
-// EncodeEvent returns the stable form of an event.
+// EncodeEvent returns the stable encoding of an event.
 func EncodeEvent(e Event) ([]byte, error) { return events.encode(e) }
 
-// DecodeEvent reads the stable form of an event.
+// DecodeEvent decodes what EncodeEvent returns.
 func DecodeEvent(data []byte) (Event, error) {
 	value, err := events.decode(data)
 	if err != nil {
@@ -165,10 +165,10 @@
 	return value.(Event), nil
 }
 
-// EncodeEffect returns the stable form of an effect.
+// EncodeEffect returns the stable encoding of an effect.
 func EncodeEffect(e Effect) ([]byte, error) { return effects.encode(e) }
 
-// DecodeEffect reads the stable form of an effect.
+// DecodeEffect decodes what EncodeEffect returns.
 func DecodeEffect(data []byte) (Effect, error) {
 	value, err := effects.decode(data)
 	if err != nil {
@@ -177,7 +177,7 @@
 	return value.(Effect), nil
 }
 
-// receivedForm and sendForm carry the message inside Received and Send.
+// receivedForm and sendForm are the encoded forms of Received and Send.
 type receivedForm struct {
 	From    HostID          `cbor:"1,keyasint"`
 	Message cbor.RawMessage `cbor:"2,keyasint"`
@@ -228,8 +228,9 @@
 	return err
 }
 
-// EncodeValue returns the KV form of a SlotTable, Roster or StewardRecord.
+// EncodeValue returns the encoding of a value for the KV service, such as a
+// SlotTable, Roster or StewardRecord.
 func EncodeValue(value any) ([]byte, error) { return encMode.Marshal(value) }
 
-// DecodeValue reads the KV form of a SlotTable, Roster or StewardRecord.
+// DecodeValue decodes what EncodeValue returns into value, a pointer.
 func DecodeValue(data []byte, value any) error { return decMode.Unmarshal(data, value) }
--- a/internal/core/codec_test.go
+++ b/internal/core/codec_test.go
@@ -6,10 +6,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A caller sends a Latin-1 header value to a plain service. Its bytes are not
-// valid UTF-8; the agent must be able to read the Start all the same, or it
-// closes the connection and every other caller's stream on it breaks.
-func TestHeaderBytesSurviveTheWire(t *testing.T) {
+// Header values may hold bytes that are not valid UTF-8, such as Latin-1 text. If
+// the agent could not decode such a Start, it would close the connection and break
+// the streams of all other callers on it.
+func TestNonUTF8HeaderValueIsDecoded(t *testing.T) {
 	want := Start{Method: "POST", Header: []HeaderKV{{Name: "X-Room", Value: "caf\xe9"}}}
 	data, err := EncodeMessage(want)
 	if err != nil {
--- a/internal/core/configpass.go
+++ b/internal/core/configpass.go
@@ -1,10 +1,10 @@
 package core
 
-// This file holds how a router that can't read the platform's store gets a configuration
-// from another, by way of a loader.
+// This file defines the messages by which a router that can't read the platform's store
+// gets the configuration from another router, by way of a loader.
 
-// ConfigWanted asks for a configuration that is newer than a version. A router asks a
-// loader, and a loader a router that has one.
+// ConfigWanted requests a configuration that is newer than the version Above. A router
+// sends it to a loader, and a loader sends it to a router that has one.
 type ConfigWanted struct {
 	Above int64 `cbor:"1,keyasint,omitempty"`
 }
@@ -12,12 +12,13 @@
 // ConfigPassed is a whole configuration.
 type ConfigPassed struct {
 	Version int64 `cbor:"1,keyasint"`
-	// Data is what fleet.EncodeConfig returns. It has digests of API keys, not the keys.
+	// Data is encoded by fleet.EncodeConfig. It holds digests of API keys, not the keys.
 	Data []byte `cbor:"2,keyasint"`
 }
 
-// ConfigSpread is a configuration that a router has read and that a loader passes on to a
-// part of all others, as in LoadDigest: in a large fleet each would read it otherwise.
+// ConfigSpread is a configuration that a router has read and that a loader forwards to
+// the part Part of Parts of all other routers (see LoadDigest). It saves the other routers
+// of a large fleet from each reading the configuration from the store.
 type ConfigSpread struct {
 	Part   int          `cbor:"1,keyasint,omitempty"`
 	Parts  int          `cbor:"2,keyasint"`
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -7,17 +7,17 @@
 	"nutmeglane.example/nutmeglane/internal/code"
 )
 
-// Effect is an output of the reducer: something the process has to do. The
-// shell starts effects in the order given and never blocks the reducer.
+// Effect is an output of the reducer: an action for the process to carry out. The
+// process starts effects in the given order and never blocks the reducer.
 type Effect interface{ effect() }
 
-// Wake asks for a Tick at At, in place of the one asked for before. Package
-// machine emits it after each step; sub-reducers only report their next time.
+// Wake schedules a Tick at At and replaces the Tick scheduled before. Package
+// machine emits it after each step; sub-reducers only return their next time.
 type Wake struct {
 	At Time `cbor:"1,keyasint"`
 }
 
-// Dial asks for a connection to a peer. PeerUp or PeerDown follows.
+// Dial opens a connection to a peer. PeerUp or PeerDown follows.
 type Dial struct {
 	Peer    HostID `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
@@ -28,8 +28,8 @@
 	Peer HostID `cbor:"1,keyasint"`
 }
 
-// Send sends a message on the newest connection to the peer; without one it
-// is dropped (PeerDown has told or will tell).
+// Send sends a message on the newest connection to the peer. Without a connection
+// the message is dropped; PeerDown reports that case.
 type Send struct {
 	To      HostID  `cbor:"1,keyasint"`
 	Message Message `cbor:"-"`
@@ -42,7 +42,7 @@
 }
 
 // KVCas writes Value if the key's revision still is Revision (0: the key must
-// not exist). A Lease other than 0 binds the key to that lease.
+// not exist). If Lease is not 0, the key is bound to that lease.
 type KVCas struct {
 	Tag      uint64 `cbor:"1,keyasint"`
 	Key      string `cbor:"2,keyasint"`
@@ -51,7 +51,7 @@
 	Lease    int64  `cbor:"5,keyasint,omitempty"`
 }
 
-// KVLease asks for a new lease.
+// KVLease requests a new lease.
 type KVLease struct {
 	Tag uint64        `cbor:"1,keyasint"`
 	TTL time.Duration `cbor:"2,keyasint"`
@@ -63,14 +63,14 @@
 	Lease int64  `cbor:"2,keyasint"`
 }
 
-// RespondHead begins the answer to a caller.
+// RespondHead sends the status and header of the response to a caller.
 type RespondHead struct {
 	ID     RequestID  `cbor:"1,keyasint"`
 	Status int        `cbor:"2,keyasint"`
 	Header []HeaderKV `cbor:"3,keyasint,omitempty"`
 }
 
-// RespondData continues the answer to a caller. CallerTook follows.
+// RespondData sends a part of the response body to a caller. CallerTook follows.
 type RespondData struct {
 	ID      RequestID `cbor:"1,keyasint"`
 	Count   uint32    `cbor:"2,keyasint"`
@@ -78,17 +78,17 @@
 	Sizes   []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// RespondEnd ends the answer to a caller, whole when Code is OK. With another
-// code and no head sent it is a refusal or error answer; after a head the
-// answer is visibly broken off.
+// RespondEnd ends the response to a caller; the response is complete if Code is
+// OK. With another code it is an error response if no head was sent, and otherwise
+// the response is aborted in a way that the caller can detect.
 type RespondEnd struct {
 	ID   RequestID `cbor:"1,keyasint"`
 	Code code.Code `cbor:"2,keyasint,omitempty"`
-	// RetryAfter tells the caller when to come back; 0 if not applicable.
+	// RetryAfter is when the caller may retry; 0 if not applicable.
 	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// TakeInventory asks the engine what it has loaded. Inventory follows.
+// TakeInventory requests the list of what the engine has loaded. Inventory follows.
 type TakeInventory struct{}
 
 // OrderKind is the kind of an engine order.
@@ -104,11 +104,11 @@
 	OrderRole
 )
 
-// EngineRole is what an engine does with new work.
+// EngineRole determines whether an engine accepts new work.
 type EngineRole uint8
 
-// The roles. An engine that knows no roles serves. A draining engine finishes
-// its loads and runs and refuses new ones.
+// The roles. An engine without support for roles is always serving. A draining
+// engine finishes its loads and runs and refuses new ones.
 const (
 	EngineServing EngineRole = iota
 	EngineDraining
@@ -116,7 +116,7 @@
 
 // Order is an order to the engine. OrderDone follows.
 type Order struct {
-	// ID counts the orders of this incarnation.
+	// ID is the sequence number of the order within this incarnation.
 	ID   uint64    `cbor:"1,keyasint"`
 	Kind OrderKind `cbor:"2,keyasint"`
 	// Key is "<model or adapter>@<version>"; Base is the base model's key
@@ -124,23 +124,24 @@
 	Key       string `cbor:"3,keyasint"`
 	Base      string `cbor:"4,keyasint,omitempty"`
 	MemoryMiB int64  `cbor:"5,keyasint"`
-	// CheckpointMiB is read from the weight store when not cached.
+	// CheckpointMiB is the amount to read from the weight store if it is not
+	// cached.
 	CheckpointMiB int64  `cbor:"6,keyasint,omitempty"`
 	Fence         uint64 `cbor:"7,keyasint"`
-	// NotAfter is checked by the shell right before the order is sent: an
-	// order held up by a pause of the process is dropped with OrderExpired.
+	// NotAfter is checked right before the order is sent to the engine: an order
+	// that was delayed by a pause of the process is dropped with OrderExpired.
 	NotAfter Time `cbor:"8,keyasint"`
-	// Role is the new role, for OrderRole only, which has no Key.
+	// Role is the new role. It is set for OrderRole only, which has no Key.
 	Role EngineRole `cbor:"9,keyasint,omitempty"`
 }
 
-// Run sends a request to the backend server. RunProgress follows, ended by
-// one with FrameEnd.
+// Run sends a request to the backend server. A series of RunProgress follows; the
+// last one has FrameEnd.
 type Run struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Target  Target    `cbor:"2,keyasint"`
-	// Key is the loaded checkpoint to run on, for models ("<name>@<version>",
-	// the adapter's if there is one).
+	// Key is the loaded checkpoint to run on, "<name>@<version>": the adapter's if
+	// there is one, else the model's. It is empty for services.
 	Key      string        `cbor:"3,keyasint,omitempty"`
 	Priority api.Priority  `cbor:"4,keyasint"`
 	Timeout  time.Duration `cbor:"5,keyasint"`
@@ -148,7 +149,7 @@
 	Path     string        `cbor:"7,keyasint,omitempty"`
 	Header   []HeaderKV    `cbor:"8,keyasint,omitempty"`
 	Body     []byte        `cbor:"9,keyasint,omitempty"`
-	// ResumeFrom is the token to begin with.
+	// ResumeFrom is the index of the first token to generate.
 	ResumeFrom uint64 `cbor:"10,keyasint,omitempty"`
 }
 
@@ -157,13 +158,13 @@
 	Attempt AttemptID `cbor:"1,keyasint"`
 }
 
-// PauseRun and its undoing hold back reading a run's answer (flow control).
+// PauseRun stops or resumes reading a run's answer, for flow control.
 type PauseRun struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Paused  bool      `cbor:"2,keyasint"`
 }
 
-// Ready tells the shell whether to report readiness to the balancer.
+// Ready sets whether the process reports itself as ready to the load balancer.
 type Ready struct {
 	Ready bool `cbor:"1,keyasint"`
 }
@@ -171,7 +172,8 @@
 // Exit ends the process after a graceful shutdown.
 type Exit struct{}
 
-// Note is a change of state worth one log line. It never holds request text.
+// Note is a change of state to be logged as one line. It must not contain request
+// text.
 type Note struct {
 	// Name is a fixed phrase, such as "slot moved".
 	Name string `cbor:"1,keyasint"`
@@ -182,15 +184,15 @@
 // Counter names a metric counter.
 type Counter string
 
-// Count adds to a counter with label values.
+// Count adds Add to the counter Name with the label values Labels.
 type Count struct {
 	Name   Counter  `cbor:"1,keyasint"`
 	Labels []string `cbor:"2,keyasint,omitempty"`
 	Add    float64  `cbor:"3,keyasint"`
 }
 
-// Observe records a value in a histogram with label values; seconds or bytes
-// as the metric's name says.
+// Observe records a value in the histogram Name with the label values Labels. The
+// unit is seconds or bytes, according to the suffix of the name.
 type Observe struct {
 	Name   Counter  `cbor:"1,keyasint"`
 	Labels []string `cbor:"2,keyasint,omitempty"`
@@ -219,15 +221,15 @@
 func (Count) effect()         {}
 func (Observe) effect()       {}
 
-// ConfigApplied hands a newly assembled configuration to the shell, which
-// checks it and feeds ConfigInForce back.
+// ConfigApplied passes a newly assembled configuration to the process, which
+// validates it and posts ConfigInForce.
 type ConfigApplied struct {
 	Revision int64 `cbor:"1,keyasint"`
-	// Document holds all resources or, if Base is not 0, only those that
-	// differ from the revision Base, which the shell has put in force.
+	// Document holds all resources or, if Base is not 0, only those that differ
+	// from the revision Base, which is already in force in this process.
 	Document []byte `cbor:"2,keyasint"`
 	Base     int64  `cbor:"3,keyasint,omitempty"`
-	// Deleted lists the resources of Base that are in this revision no more.
+	// Deleted lists the resources of Base that are missing from this revision.
 	Deleted []api.Key `cbor:"4,keyasint,omitempty"`
 	// Size is the number of resources in the whole revision, if Base is not 0.
 	Size int `cbor:"5,keyasint,omitempty"`
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -11,7 +11,7 @@
 // encoded form (see codec.go), so that a recorded run can be replayed.
 type Event interface{ event() }
 
-// Tick tells the reducer that a time it asked for by Wake has come.
+// Tick reports that the time of the last Wake has been reached.
 type Tick struct{}
 
 // Received is a message from a peer.
@@ -24,12 +24,12 @@
 // second PeerUp without PeerDown means that the connection was replaced.
 type PeerUp struct {
 	Peer HostID `cbor:"1,keyasint"`
-	// Incarnation is the peer process's own, from the handshake.
+	// Incarnation is that of the peer process, from the handshake.
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
-// PeerDown reports that no connection to the peer is left, or that a dial
-// failed.
+// PeerDown reports that there is no connection to the peer any more, or that a
+// dial failed.
 type PeerDown struct {
 	Peer HostID `cbor:"1,keyasint"`
 	// Planned is set when the peer closed for a restart (code 1012).
@@ -45,7 +45,7 @@
 	HostLeaving HostState = "leaving"
 )
 
-// HostRole tells what runs on a host.
+// HostRole determines which of the system's processes runs on a host.
 type HostRole string
 
 // The host roles.
@@ -54,7 +54,7 @@
 	RoleBackend HostRole = "backend"
 )
 
-// Host is a line of the platform's host list.
+// Host is one entry of the platform's host list.
 type Host struct {
 	ID HostID `cbor:"1,keyasint" json:"id"`
 	// Address is "IP:port" of the system's process there.
@@ -64,25 +64,25 @@
 	State   HostState `cbor:"5,keyasint" json:"state"`
 }
 
-// HostList is the platform's list as last read. It lags: a host absent here
-// was reclaimed, with all its processes; a host present may be dead.
+// HostList is the platform's host list as last read. It lags behind: a host that is
+// absent was reclaimed with all its processes, but a listed host may be dead.
 type HostList struct {
 	Hosts []Host `cbor:"1,keyasint"`
 }
 
-// ConfigInForce replaces the configuration. Its revision only grows.
+// ConfigInForce replaces the configuration. Its revision never decreases.
 type ConfigInForce struct {
 	Snapshot *api.Snapshot `cbor:"1,keyasint"`
-	// Changed lists the resources that may differ from the ConfigInForce
-	// before, sorted; nil if any may.
+	// Changed lists, sorted, the resources that may differ from the previous
+	// ConfigInForce; nil means that any of them may.
 	Changed []api.Key `cbor:"2,keyasint"`
 }
 
-// Stop asks for a graceful shutdown within Limit.
+// Stop requests a graceful shutdown within Limit.
 type Stop struct {
 	Limit time.Duration `cbor:"1,keyasint"`
-	// Delay, a part of Limit, is how long an entry that has turned its
-	// readiness off still takes new requests.
+	// Delay, a part of Limit, is how long an entry still accepts new requests
+	// after it reports itself as not ready.
 	Delay time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
@@ -94,7 +94,7 @@
 	Revision int64  `cbor:"3,keyasint"`
 }
 
-// KVReachable reports that calls to the KV service began to work or to fail.
+// KVReachable reports that calls to the KV service started to succeed or to fail.
 type KVReachable struct {
 	Up bool `cbor:"1,keyasint"`
 }
@@ -102,9 +102,9 @@
 // KVResult answers a KV effect with the same Tag.
 type KVResult struct {
 	Tag uint64 `cbor:"1,keyasint"`
-	// Code is OK, KVConflict, KVUnavailable (no effect) or KVUnknown (it may
-	// have taken effect). With the first two, Value and Revision of a key are
-	// the current ones: after a KVCas that succeeded, those it wrote.
+	// Code is OK, KVConflict, KVUnavailable (no effect) or KVUnknown (the call may
+	// have taken effect). With OK and KVConflict, Value and Revision are the key's
+	// current ones; after a KVCas that succeeded, those that it wrote.
 	Code     code.Code `cbor:"2,keyasint,omitempty"`
 	Key      string    `cbor:"3,keyasint,omitempty"`
 	Value    []byte    `cbor:"4,keyasint,omitempty"`
@@ -118,7 +118,7 @@
 	ClientAccount string       `cbor:"2,keyasint"`
 	Target        Target       `cbor:"3,keyasint"`
 	Priority      api.Priority `cbor:"4,keyasint"`
-	// Timeout is the time the caller waits for the whole answer.
+	// Timeout is how long the caller waits for the whole response.
 	Timeout    time.Duration `cbor:"5,keyasint"`
 	Key        string        `cbor:"6,keyasint,omitempty"`
 	Idempotent bool          `cbor:"7,keyasint,omitempty"`
@@ -126,22 +126,25 @@
 	Path       string        `cbor:"9,keyasint,omitempty"`
 	Header     []HeaderKV    `cbor:"10,keyasint,omitempty"`
 	Body       []byte        `cbor:"11,keyasint,omitempty"`
-	// Prefix is a hash of the prompt's beginning, for cache routing; 0 if none.
+	// Prefix is a hash of the beginning of the prompt, used to route to an engine
+	// that has it cached; 0 if none.
 	Prefix uint64 `cbor:"12,keyasint,omitempty"`
 }
 
-// CallerGone tells that the caller closed its connection.
+// CallerGone reports that the caller closed its connection.
 type CallerGone struct {
 	ID RequestID `cbor:"1,keyasint"`
 }
 
-// CallerTook tells that the caller's connection took Frames data frames.
+// CallerTook reports that Frames data frames were written to the caller's
+// connection.
 type CallerTook struct {
 	ID     RequestID `cbor:"1,keyasint"`
 	Frames uint32    `cbor:"2,keyasint"`
 }
 
-// LoadedItem is what an engine holds loaded, from its own inventory.
+// LoadedItem is a model or adapter that is loaded on an engine, from the engine's
+// inventory.
 type LoadedItem struct {
 	// Key is "<model or adapter>@<version>".
 	Key string `cbor:"1,keyasint"`
@@ -150,7 +153,7 @@
 	MemoryMiB int64  `cbor:"3,keyasint"`
 	// Fence is the fencing number of the order that loaded it.
 	Fence uint64 `cbor:"4,keyasint"`
-	// Busy is set while a load or unload of it runs.
+	// Busy is set while a load or unload of it is in progress.
 	Busy bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -159,11 +162,11 @@
 	Code      code.Code    `cbor:"1,keyasint,omitempty"`
 	Items     []LoadedItem `cbor:"2,keyasint,omitempty"`
 	MemoryMiB int64        `cbor:"3,keyasint"`
-	// ChecksFencing as the engine states it.
+	// ChecksFencing is set if the engine reports that it checks fencing numbers.
 	ChecksFencing bool               `cbor:"4,keyasint,omitempty"`
 	Cached        []CachedCheckpoint `cbor:"5,keyasint,omitempty"`
 	Role          EngineRole         `cbor:"6,keyasint,omitempty"`
-	// RoleFence is the highest fencing number of an OrderRole so far.
+	// RoleFence is the highest fencing number of any OrderRole so far.
 	RoleFence uint64 `cbor:"7,keyasint,omitempty"`
 }
 
@@ -171,12 +174,12 @@
 type OrderDone struct {
 	Order uint64 `cbor:"1,keyasint"`
 	// Code is OK, or EngineRefused, FencedOut, OrderExpired, StoreFailed,
-	// EngineNoMemory (each: no effect), or EngineFailed and EngineUnknown
-	// (the effect is unknown: take an inventory).
+	// EngineNoMemory (each: no effect), or EngineFailed or EngineUnknown (it may
+	// have taken effect; an inventory has to be taken).
 	Code code.Code `cbor:"2,keyasint,omitempty"`
 }
 
-// EngineLoad is the engine's lagging load report.
+// EngineLoad is the engine's load report, which lags behind the actual load.
 type EngineLoad struct {
 	Running int `cbor:"1,keyasint"`
 	Queued  int `cbor:"2,keyasint"`
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// This file holds what routers and loaders tell each other about the limits of backend
-// servers. See package limit.
+// This file defines the messages between routers and loaders about the request limits of
+// backend servers. See package limit.
 
-// ReportedLimit is what a backend server told of its limit with one answer.
+// ReportedLimit is the limit that a backend server announced with one answer.
 type ReportedLimit struct {
 	_ struct{} `cbor:",toarray"`
-	// Named is false where it named none.
+	// Named is false if the server announced no limit.
 	Named bool
-	// PerSecond is how many requests a second it takes from all routers together.
+	// PerSecond is the number of requests per second that the server accepts from all
+	// routers together.
 	PerSecond float64
-	// SentAgo is how long before this message the request was sent, HeardAgo how long
-	// before it the answer came.
+	// SentAgo and HeardAgo are how long before this message the request was sent and its
+	// answer received.
 	SentAgo, HeardAgo time.Duration
 }
 
-// LimitAsk is a router's word on a server's limit to the loader that keeps it, and, if Ask
-// is set, its question whether it may send a request there.
+// LimitAsk is sent by a router to the loader that keeps a server's limit. It reports the
+// limit known to the router and, if Ask is set, requests a permit to send a request there.
 type LimitAsk struct {
 	Server ServerLife    `cbor:"1,keyasint"`
 	Limit  ReportedLimit `cbor:"2,keyasint"`
-	// Ask names the request, 0 if nothing is asked. The answer bears it.
+	// Ask identifies the request and is repeated by the answer; 0 if no permit is requested.
 	Ask uint64 `cbor:"3,keyasint,omitempty"`
-	// Spare is set if another server could serve the request.
+	// Spare is set if another server could serve the request as well.
 	Spare bool `cbor:"4,keyasint,omitempty"`
-	// Uncounted are requests that the router sent there within the last window without
-	// asking, in parts of equal length with the oldest first. They are told once.
+	// Uncounted are the numbers of requests that the router sent there within the last
+	// window without a permit, by intervals of equal length with the oldest first. Each
+	// request is reported once.
 	Uncounted []float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// LimitTold is a loader's word on a server's limit to routers: the answer to a question, or
-// news.
+// LimitTold is sent by a loader to routers and reports a server's limit, in answer to a
+// LimitAsk or because the limit has changed.
 type LimitTold struct {
 	Server ServerLife    `cbor:"1,keyasint"`
 	Limit  ReportedLimit `cbor:"2,keyasint"`
-	// Ask is that of the question, 0 if this is news.
+	// Ask is that of the LimitAsk, 0 if this is a change.
 	Ask uint64 `cbor:"3,keyasint,omitempty"`
-	// Granted allows the request; else Room is when there will be room for one.
+	// Granted permits the request; otherwise Room is the time until one can be permitted.
 	Granted bool          `cbor:"4,keyasint,omitempty"`
 	Room    time.Duration `cbor:"5,keyasint,omitempty"`
-	// Spare is that of the question.
+	// Spare is that of the LimitAsk.
 	Spare bool `cbor:"6,keyasint,omitempty"`
 }
 
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -8,19 +8,19 @@
 )
 
 // Message is sent between two processes over a wire connection. An entry dials
-// an agent (or, later, another entry); an agent never dials. Messages of one
-// connection arrive in order and at most once; a lost connection may have lost
-// any suffix of them.
+// agents and a router dials loaders; agents and loaders never dial. Messages of one
+// connection arrive in order and at most once. When a connection is lost, any
+// suffix of its messages may be lost.
 type Message interface{ message() }
 
-// Hello opens a connection from an entry to an agent.
+// Hello is the first message from an entry to an agent on a connection.
 type Hello struct {
 	Host        HostID      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Zone        Zone        `cbor:"3,keyasint"`
-	// Steward asks the agent for reports on this connection.
+	// Steward is set if the agent is to send its reports on this connection.
 	Steward bool `cbor:"4,keyasint,omitempty"`
-	// ConfigRevision is the configuration in force at the entry.
+	// ConfigRevision is the revision of the configuration in force at the entry.
 	ConfigRevision int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -35,21 +35,22 @@
 	ConfigRevision int64       `cbor:"7,keyasint,omitempty"`
 }
 
-// SlotLoad is the load state of one slot, as its owner sees it.
+// SlotLoad is the load state of one slot, as reported by its owner.
 type SlotLoad struct {
 	Slot       SlotID `cbor:"1,keyasint"`
 	Generation uint64 `cbor:"2,keyasint"`
-	// State of the base model.
+	// State is that of the base model.
 	State LoadState `cbor:"3,keyasint"`
-	// Adapters loaded on it.
+	// Adapters are those loaded on the slot.
 	Adapters []string `cbor:"4,keyasint,omitempty"`
-	// Running and Queued requests.
+	// Running and Queued count the requests of the slot.
 	Running int `cbor:"5,keyasint,omitempty"`
 	Queued  int `cbor:"6,keyasint,omitempty"`
-	// ReadyIn predicts when an interactive request sent now would start behind
-	// all others.
+	// ReadyIn predicts how long an interactive request sent now would wait if it
+	// starts after all queued ones.
 	ReadyIn time.Duration `cbor:"7,keyasint,omitempty"`
-	// SkipIn is how much sooner one of a client account with none waiting starts.
+	// SkipIn is how much sooner a request starts whose client account has no
+	// requests waiting.
 	SkipIn time.Duration `cbor:"8,keyasint,omitempty"`
 }
 
@@ -64,27 +65,27 @@
 	Unloading
 )
 
-// Tier tells where the nearest copy of a checkpoint is.
+// Tier is the location of the nearest copy of a checkpoint.
 type Tier uint8
 
-// The cache tiers, cheapest first.
+// The cache tiers, the one with the cheapest loads first.
 const (
 	TierMemory Tier = iota + 1
 	TierDisk
 	TierRemote
 )
 
-// CachedCheckpoint is a checkpoint near a host.
+// CachedCheckpoint is a checkpoint and the nearest tier in which a host has it.
 type CachedCheckpoint struct {
 	// Key is "<model or adapter>@<version>".
 	Key  string `cbor:"1,keyasint"`
 	Tier Tier   `cbor:"2,keyasint"`
 }
 
-// Status is pushed by an agent to each connected entry when what it says
-// changes, at most a few times a second, and on connecting.
+// Status is sent by an agent to each connected entry on connecting and when its
+// content changes, at most a few times a second.
 type Status struct {
-	// Sequence grows with each status of the incarnation.
+	// Sequence increases with each Status of the incarnation.
 	Sequence uint64     `cbor:"1,keyasint"`
 	Slots    []SlotLoad `cbor:"2,keyasint,omitempty"`
 	// Running and Queued count all requests at the host.
@@ -97,10 +98,10 @@
 	Prefixes []uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Report is an agent's word to the steward, sent each ReportInterval.
+// Report is an agent's state, sent to the steward every ReportInterval.
 type Report struct {
-	// Sequence grows with each report of the incarnation. The Grant that
-	// answers it echoes it.
+	// Sequence increases with each report of the incarnation. The Grant that
+	// answers the report repeats it.
 	Sequence      uint64      `cbor:"1,keyasint"`
 	Host          HostID      `cbor:"2,keyasint"`
 	Incarnation   Incarnation `cbor:"3,keyasint"`
@@ -111,42 +112,42 @@
 	MemoryMiB     int64       `cbor:"8,keyasint,omitempty"`
 	ChecksFencing bool        `cbor:"9,keyasint,omitempty"`
 	Leaving       bool        `cbor:"10,keyasint,omitempty"`
-	// Inventoried is set once the agent knows what its engine has loaded and
-	// has unloaded all it does not own.
+	// Inventoried is set once the agent has the inventory of its engine and has
+	// unloaded everything that it does not own.
 	Inventoried bool `cbor:"11,keyasint,omitempty"`
 	// Released lists slots (with the generation) that the agent has unloaded
 	// and will never load again under that generation.
 	Released []Slot             `cbor:"12,keyasint,omitempty"`
 	Cached   []CachedCheckpoint `cbor:"13,keyasint,omitempty"`
-	// ConfigRevision is the configuration in force at the agent.
+	// ConfigRevision is the revision of the configuration in force at the agent.
 	ConfigRevision int64 `cbor:"14,keyasint,omitempty"`
-	// Backend is the engine's base URL as other hosts reach it.
+	// Backend is the engine's base URL, reachable from other hosts.
 	Backend string `cbor:"15,keyasint,omitempty"`
 	// Cleared lists slots whose newest known AdapterMax is 0 and on which no
-	// adapter is loaded, loading or unloading. It promises that this
-	// incarnation loads none there until it sees the slot with a higher
-	// AdapterEpoch, or a higher Generation.
+	// adapter is loaded, loading or unloading. The agent guarantees that this
+	// incarnation loads none there until it receives the slot with a higher
+	// AdapterEpoch or a higher Generation.
 	Cleared []Slot `cbor:"16,keyasint,omitempty"`
-	// Crowded lists unloaded slots for which requests were refused of late,
-	// because busy models take the memory.
+	// Crowded lists unloaded slots for which requests were recently refused
+	// because models in use occupy the memory.
 	Crowded []SlotID `cbor:"17,keyasint,omitempty"`
 }
 
-// Grant renews an agent's tenure. The steward sends it only after the roster
-// that records the renewal was written and the slot table read afterwards.
+// Grant renews an agent's tenure. The steward sends it only after it has written
+// the roster with the renewal and then read the slot table.
 type Grant struct {
-	// Sequence echoes the Report. The tenure counts from the moment that
-	// report was sent, by the agent's own clock.
+	// Sequence is that of the Report. The tenure starts when that report was
+	// sent, by the agent's own clock.
 	Sequence    uint64        `cbor:"1,keyasint"`
 	Incarnation Incarnation   `cbor:"2,keyasint"`
 	Tenure      time.Duration `cbor:"3,keyasint"`
-	// Slots are all slots that the table gives to this incarnation, in both
-	// states. An owned slot that is absent is lost to the agent.
+	// Slots are all slots that the table assigns to this incarnation, in either
+	// state. The agent no longer owns a slot that is absent.
 	Slots []Slot `cbor:"4,keyasint,omitempty"`
 	// Revision is the newest KV revision of the slot tables that Slots were
-	// taken from. The agent keeps its slots when it is lower than that of the
-	// Grant it took before: a steward that woke from a pause would otherwise
-	// have it unload what it owns.
+	// taken from. If it is lower than that of the last accepted Grant, the agent
+	// keeps its slots. Otherwise the outdated Grant of a steward that resumes
+	// after a pause would make the agent unload slots that it owns.
 	Revision int64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -158,19 +159,22 @@
 	ClientAccount string       `cbor:"4,keyasint"`
 	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration `cbor:"5,keyasint"`
-	// Key is the caller's idempotency key, scoped by client account; may be empty.
+	// Key is the caller's idempotency key, scoped to the client account; it may be
+	// empty.
 	Key        string     `cbor:"6,keyasint,omitempty"`
 	Idempotent bool       `cbor:"7,keyasint,omitempty"`
 	Method     string     `cbor:"8,keyasint,omitempty"`
 	Path       string     `cbor:"9,keyasint,omitempty"`
 	Header     []HeaderKV `cbor:"10,keyasint,omitempty"`
 	Body       []byte     `cbor:"11,keyasint,omitempty"`
-	// ResumeFrom is the number of tokens the caller already has.
+	// ResumeFrom is the number of tokens that the caller has already received.
 	ResumeFrom uint64 `cbor:"12,keyasint,omitempty"`
-	// Generation of the slot the entry believes the agent owns; 0 for services.
+	// Slot and Generation identify the slot that the agent owns according to the
+	// entry's slot table; Generation is 0 for services.
 	Slot       SlotID `cbor:"13,keyasint"`
 	Generation uint64 `cbor:"14,keyasint,omitempty"`
-	// Window is the number of data frames the agent may send before a Credit.
+	// Window is the number of data frames that the agent may send before it
+	// receives a Credit.
 	Window uint32 `cbor:"15,keyasint"`
 }
 
@@ -180,27 +184,27 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Accepted tells the entry that the agent has the attempt.
+// Accepted reports to the entry that the agent has accepted the attempt.
 type Accepted struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
-	// StartsIn predicts the start of the run.
+	// StartsIn is the predicted time until the run starts.
 	StartsIn time.Duration `cbor:"2,keyasint"`
 }
 
-// Rejected tells the entry that the attempt did not run and will not: the
-// agent remembers the refusal (a tombstone) for longer than a message can live.
+// Rejected reports to the entry that the attempt has not run and never will: the
+// agent keeps a tombstone of it for longer than a message can be in transit.
 type Rejected struct {
 	Attempt    AttemptID     `cbor:"1,keyasint"`
 	Code       code.Code     `cbor:"2,keyasint"`
 	RetryAfter time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// FrameKind tells what a Frame carries.
+// FrameKind is the kind of content of a Frame.
 type FrameKind uint8
 
 // The frame kinds.
 const (
-	// FrameHead carries status and header; it comes first and uses no Seq.
+	// FrameHead carries status and header; it is sent first and has no Seq.
 	FrameHead FrameKind = iota + 1
 	// FrameData carries tokens (models) or one chunk of bytes (services).
 	FrameData
@@ -228,83 +232,85 @@
 	RetryAfter time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// Credit lets the agent send data frames up to (not including) the total
-// count of Frames since the start of the attempt, and frees those before Seq
-// from its resend buffer.
+// Credit allows the agent to send data frames until it has sent Frames of them
+// since the start of the attempt, and to drop those before Seq from its resend
+// buffer.
 type Credit struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	// Frames is the total number of data frames allowed so far.
 	Frames uint64 `cbor:"2,keyasint"`
-	// Seq is the next token or chunk that the entry expects.
+	// Seq is the index of the next token or chunk that the entry expects.
 	Seq uint64 `cbor:"3,keyasint"`
 }
 
-// Cancel tells the agent that nobody waits for the attempt any more.
+// Cancel cancels an attempt whose result is no longer needed.
 type Cancel struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
-	// IfWaiting asks the agent to refuse the attempt, with Rejected, if it has not begun
-	// to run; one that runs goes on. The entry is about to end and waits for the answer.
+	// IfWaiting limits Cancel to an attempt that has not begun to run: the agent answers
+	// it with Rejected, while a running attempt continues. It is set by an entry that is
+	// about to exit and waits for the answer.
 	IfWaiting bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Resume asks, on a fresh connection, for the frames of a running attempt
-// from Seq on. An agent that does not know the attempt answers NotStarted.
+// Resume requests, on a new connection, the frames of a running attempt from Seq
+// on. An agent that has no record of the attempt answers with NotStarted.
 type Resume struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 	Seq     uint64    `cbor:"2,keyasint"`
-	// HaveHead is set when the head frame has arrived.
+	// HaveHead is set if the entry has received the head frame.
 	HaveHead bool `cbor:"3,keyasint,omitempty"`
-	// Frames is the total number of data frames allowed so far, by the count
-	// of Credit. What is sent again from Seq on counts once.
+	// Frames is the total number of data frames allowed so far, counted as in
+	// Credit. Frames that are sent again from Seq on count once.
 	Frames uint64 `cbor:"4,keyasint"`
 }
 
-// NotStarted answers Resume for an attempt that the agent never started. It
-// is a promise (a tombstone) that this incarnation never will. It is true only
-// for this incarnation: an earlier one may have started the attempt.
+// NotStarted answers Resume for an attempt that the agent never started. The agent
+// keeps a tombstone, so that this incarnation never starts it. An earlier
+// incarnation may have started it.
 type NotStarted struct {
 	Attempt     AttemptID   `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 }
 
-// Leaving is an agent's own notice that it takes no new work. The entry sends
-// one back with its own host once it has nothing open there: it sends no new work on this
-// connection, and has the end of all that it sent.
+// Leaving announces that an agent accepts no new work. The entry answers with a
+// Leaving that has its own host once it has received the end of everything that it
+// sent to the agent; it sends no new work on this connection.
 type Leaving struct {
 	Host HostID `cbor:"1,keyasint"`
-	// Remaining is the time left for work in flight.
+	// Remaining is the time left for requests in flight.
 	Remaining time.Duration `cbor:"2,keyasint"`
 }
 
-// ConfigHead offers a configuration revision. A receiver with an older one
-// asks for the chunks that it lacks; one with a newer one offers its own.
-// Without Chunks it only announces a revision, which keeps announcements to a
-// few bytes: a newer receiver answers with its full head, an older one with
-// its own announcement.
+// ConfigHead offers a configuration revision. A receiver with an older revision
+// requests the chunks that it lacks; one with a newer revision offers its own.
+// Without Chunks it only announces a revision, which keeps announcements to a few
+// bytes: a receiver with a newer revision answers with its full head, one with an
+// older revision with its own announcement.
 type ConfigHead struct {
 	Revision int64 `cbor:"1,keyasint"`
-	// Chunks are the content hashes, in order, that make up the revision.
+	// Chunks are the content hashes of the revision's chunks, in order.
 	Chunks []string `cbor:"2,keyasint"`
 }
 
-// ConfigWant asks for chunks by hash.
+// ConfigWant requests chunks by hash.
 type ConfigWant struct {
 	Chunks []string `cbor:"1,keyasint"`
 }
 
-// ConfigChunk carries a chunk, compressed by flate. The receiver checks the
-// hash, which is of the uncompressed bytes.
+// ConfigChunk carries a chunk, compressed by flate. The receiver verifies the hash,
+// which is that of the uncompressed bytes.
 type ConfigChunk struct {
 	Hash string `cbor:"1,keyasint"`
 	Data []byte `cbor:"2,keyasint"`
 }
 
-// PermitRequest asks the steward for permits to load from the weight store.
+// PermitRequest requests a permit to load from the weight store.
 type PermitRequest struct {
-	// Sequence is echoed by the grant.
+	// Sequence is repeated by the grant.
 	Sequence uint64       `cbor:"1,keyasint"`
 	Priority api.Priority `cbor:"2,keyasint"`
-	// Remaining is the time until the earliest deadline that waits for it.
+	// Remaining is the time until the earliest deadline of the requests that wait
+	// for the load.
 	Remaining time.Duration `cbor:"3,keyasint"`
 	Key       string        `cbor:"4,keyasint"`
 }
@@ -312,13 +318,13 @@
 // PermitGrant allows one load from the weight store to begin.
 type PermitGrant struct {
 	Sequence uint64 `cbor:"1,keyasint"`
-	// ValidFor counts from the receipt.
+	// ValidFor is how long the permit is valid after it was received.
 	ValidFor time.Duration `cbor:"2,keyasint"`
 	// StartIn is the wait until the load may begin.
 	StartIn time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// PermitDone returns a lane after the load ended.
+// PermitDone releases the permit's lane after the load has ended.
 type PermitDone struct {
 	Sequence uint64 `cbor:"1,keyasint"`
 }
--- a/internal/core/poison.go
+++ b/internal/core/poison.go
@@ -8,17 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// This file holds what routers tell each other about servers that ended while
-// requests ran on them.
+// This file defines the messages between routers about servers that ended while requests
+// ran on them.
 
-// Fingerprint is the same for requests that ask for the same work: a caller that
-// sends one again gives it a new id, but its credentials, the path and the body stay.
+// Fingerprint identifies requests for the same work. A caller that sends a request again
+// gives it a new id, but the credentials, the path and the body stay the same.
 type Fingerprint uint64
 
-// String is the fingerprint as logs and operators write it: 16 hexadecimal digits.
+// String returns the form that is used in logs and by operators: 16 hexadecimal digits.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses what String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	f, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || f == 0 || len(text) != 16 {
@@ -27,46 +27,47 @@
 	return Fingerprint(f), nil
 }
 
-// ServerLife is one life of a backend server, from its start to its end.
+// ServerLife identifies one run of a backend server, from its start to its end.
 type ServerLife struct {
-	// Instance is the server's name in the registry. It may stay over several lives.
+	// Instance is the server's name in the registry. It may stay the same over restarts.
 	Instance string `cbor:"1,keyasint"`
-	// Born tells lives of one instance apart, in Unix milliseconds of the server's
-	// clock; 0 where servers do not tell.
+	// Born distinguishes the runs of one instance. It is the start time in Unix
+	// milliseconds by the server's clock; 0 if the server does not report it.
 	Born int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ServerEnd tells that a life of a backend server ended, and what a router had
-// running there.
+// ServerEnd reports that a run of a backend server ended, and which requests of a router
+// were running there.
 type ServerEnd struct {
 	Life    ServerLife `cbor:"1,keyasint"`
 	Service string     `cbor:"2,keyasint"`
 	Address string     `cbor:"3,keyasint"`
-	// Sole is set where the service has servers at no other address.
+	// Sole is set if the service has no servers at other addresses.
 	Sole bool `cbor:"4,keyasint,omitempty"`
-	// Ago is how long ago the end was noticed, when the message was sent.
+	// Ago is how long before the message was sent the end was detected.
 	Ago time.Duration `cbor:"5,keyasint,omitempty"`
 	// Requests are those that the router lost there.
 	Requests []LostRequest `cbor:"6,keyasint"`
 }
 
-// LostRequest is a request that was at a server when that ended.
+// LostRequest is a request that was at a server when the server ended.
 type LostRequest struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint Fingerprint
-	// Age is for how long it had been there, in ms.
+	// Age is how long it had been there, in ms.
 	Age uint32
-	// Arrival tells the caller's tries apart: of one, our own repeats have the same.
+	// Arrival distinguishes the times that the caller sent the request. Attempts that the
+	// router repeats by itself have the same Arrival.
 	Arrival uint32
 }
 
-// PoisonNews is what a router tells the others of servers that ended under requests.
-// Loaders pass it on to all other routers and keep it for those that start later; in
-// the platform's store it lasts beyond all processes.
+// PoisonNews is sent by a router and reports servers that ended while requests ran on
+// them. Loaders forward it to all other routers and keep it for routers that start later;
+// the platform's store keeps it when all processes have ended.
 type PoisonNews struct {
 	Ends []ServerEnd `cbor:"1,keyasint,omitempty"`
-	// Cleared are requests that are well after all: one was served, or an operator
-	// said so.
+	// Cleared are requests that are not poison after all: one was served, or an operator
+	// cleared it.
 	Cleared []Fingerprint `cbor:"2,keyasint,omitempty"`
 }
 
--- a/internal/core/rendezvous.go
+++ b/internal/core/rendezvous.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the rendezvous (highest random weight) score of a key at a node.
-// It is the same at every process.
+// Score is the rendezvous hashing (highest random weight) score of a key at a node.
+// All processes compute the same score.
 func Score(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -24,11 +24,11 @@
 }
 
 // AdapterSlots returns the indexes of the base model's slots that may hold an
-// adapter, in order of preference: the count highest rendezvous scores among
-// the base's max slots, which is Slot.AdapterMax: the configured limit is not in
-// force at all processes at a time. Adapter places follow from the base's slots
-// and the adapter's own limit, so that 42,000 adapters need no state of their
-// own in the KV service, and whoever owns the base's slot owns the adapter on it.
+// adapter, in order of preference: those with the count highest rendezvous scores
+// among max slots. max is Slot.AdapterMax, because the configured limit does not
+// take effect in all processes at the same time. Adapter locations are derived from
+// the base model's slots and the adapter's own limit, so that 42,000 adapters need
+// no state in the KV service. The owner of a slot owns the adapters on it.
 func AdapterSlots(adapter string, count, max int) []uint16 {
 	type scored struct {
 		index uint16
--- a/internal/core/sorted.go
+++ b/internal/core/sorted.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// SortedKeys returns the keys of a map in ascending order. Reducers range over
-// maps only through it wherever the order can reach an effect: Go's map order
-// is random and would break replay.
+// SortedKeys returns the keys of a map in ascending order. Reducers have to use it
+// to range over a map wherever the order can influence effects: Go's map order is
+// random and would break replay.
 func SortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/core/tables.go
+++ b/internal/core/tables.go
@@ -12,8 +12,8 @@
 	KeyChunkPrefix  = KeyPrefix + "config/chunk/" // + content hash
 )
 
-// SlotChunks is the number of KV values the slot table is spread over, by
-// hash of the model's name.
+// SlotChunks is the number of KV values that the slot table is split into, by
+// hash of the model name.
 const SlotChunks = 16
 
 // SlotState is the state of a slot in the table.
@@ -23,13 +23,13 @@
 const (
 	// SlotOwned: the owner may load the slot while it holds tenure.
 	SlotOwned SlotState = iota + 1
-	// SlotReleasing: the owner is asked to unload the slot and say so. It
-	// may not start a load. Next becomes the owner once a proof is in.
+	// SlotReleasing: the owner has to unload the slot and report it, and may not
+	// start a load. Next becomes the owner once the release is proved.
 	SlotReleasing
 )
 
-// Slot is one decided replica place. Its generation is the fencing number of
-// every order given under it.
+// Slot is the assignment of one replica of a model to a host. Its generation is
+// the fencing number of every engine order issued for it.
 //
 // Invariant: generation g+1 is written only after proof that the owner of g
 // neither has the slot loaded nor will load it (see docs/DESIGN.md for the
@@ -40,7 +40,7 @@
 	Incarnation Incarnation `cbor:"3,keyasint"`
 	Generation  uint64      `cbor:"4,keyasint"`
 	State       SlotState   `cbor:"5,keyasint"`
-	// Next is the host that takes over; empty when the slot is to be dropped.
+	// Next is the host that takes over; empty if the slot is to be removed.
 	Next HostID `cbor:"6,keyasint,omitempty"`
 	// AdapterMax is the number of slots over which adapters are hashed on this
 	// slot (see AdapterSlots); 0 means that no adapter may be loaded on it.
@@ -50,23 +50,23 @@
 	// all slots, then, once each owner is proved to hold no adapter (cleared),
 	// to L'. So no two owners ever hash over different counts at a time.
 	AdapterMax uint16 `cbor:"7,keyasint,omitempty"`
-	// AdapterEpoch grows with each change of AdapterMax under a generation. It
-	// orders what Grants say of AdapterMax, however late they come, and names
-	// the change that a Report.Cleared answers.
+	// AdapterEpoch increases with each change of AdapterMax within a generation.
+	// It orders the values of AdapterMax in Grants that arrive late or out of
+	// order, and identifies the change that a Report.Cleared answers.
 	AdapterEpoch uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// SlotTable is one chunk of the slot table, kept in the KV service and changed
+// SlotTable is one chunk of the slot table, stored in the KV service and changed
 // by compare-and-swap only.
 type SlotTable struct {
 	Slots []Slot `cbor:"1,keyasint"`
 	// DroppedGeneration is the highest generation of any slot removed from
-	// the chunk. New slots start above it, so that a slot which is dropped
-	// and decided again never repeats a fencing number.
+	// the chunk. New slots start above it, so that a slot that is removed and
+	// created again never reuses a fencing number.
 	DroppedGeneration uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// BackendKind tells what runs beside an agent.
+// BackendKind is the kind of backend server on an agent's host.
 type BackendKind string
 
 // The kinds of backend server.
@@ -79,11 +79,11 @@
 type RosterEntry struct {
 	Host        HostID      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
-	// Sequence is the report that the last renewal answered. It grows with
-	// each renewal, so that an observer sees that the agent is alive.
+	// Sequence is that of the report answered by the last renewal. It increases
+	// with each renewal, which shows observers that the agent is alive.
 	Sequence uint64 `cbor:"3,keyasint"`
-	// Fenced is set before the tenure is declared over. No renewal may
-	// follow for this incarnation.
+	// Fenced is set before the tenure is declared expired. The tenure of this
+	// incarnation may not be renewed after that.
 	Fenced  bool `cbor:"4,keyasint,omitempty"`
 	Leaving bool `cbor:"5,keyasint,omitempty"`
 	// Address is the agent's "IP:port" for other processes.
@@ -92,35 +92,37 @@
 	Service string      `cbor:"8,keyasint,omitempty"`
 	// MemoryMiB is the accelerator memory of the host, 0 for services.
 	MemoryMiB int64 `cbor:"9,keyasint,omitempty"`
-	// ChecksFencing is set when the engine refuses old fencing numbers.
+	// ChecksFencing is set if the engine refuses orders with outdated fencing
+	// numbers.
 	ChecksFencing bool `cbor:"10,keyasint,omitempty"`
-	// Backend is the engine's base URL as other hosts reach it; see Evict.
+	// Backend is the engine's base URL, reachable from other hosts; see Evict.
 	Backend string `cbor:"11,keyasint,omitempty"`
 }
 
-// Roster is the membership of one availability zone: one KV value for many
-// agents, so that KV writes do not grow with hosts.
+// Roster is the membership of one availability zone. All agents of the zone share
+// one KV value, so that the rate of KV writes does not grow with the hosts.
 type Roster struct {
 	Zone    Zone          `cbor:"1,keyasint"`
 	Entries []RosterEntry `cbor:"2,keyasint"`
 }
 
-// StewardRecord names the entry that keeps rosters and slot tables.
+// StewardRecord identifies the entry that currently acts as steward, which
+// maintains rosters and slot tables.
 type StewardRecord struct {
 	Host        HostID      `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Address     string      `cbor:"3,keyasint"`
 }
 
-// Timings are the protocol's durations. They are settings, checked on load;
-// tests use small ones.
+// Timings are the durations of the protocol. They are settings, validated on
+// load; tests use shorter ones.
 type Timings struct {
-	// Tenure is how long after sending a report, by its own clock, an agent
-	// may load and keep loaded what it owns. It outlasts the longest KV
-	// outage that the deployment wants to serve through. Default 75 min.
+	// Tenure is how long an agent may load its slots and keep them loaded after
+	// it sent a report, by its own clock. It has to exceed the longest KV outage
+	// that the deployment is to keep serving through. Default 75 min.
 	Tenure time.Duration `cbor:"1,keyasint"`
-	// TenureMargin is added by the steward before it takes a tenure for
-	// over; it covers clock drift and the longest OrderValidity. Default 2 min.
+	// TenureMargin is the time that the steward adds before it regards a tenure
+	// as expired; it covers clock drift and the longest OrderValidity. Default 2 min.
 	TenureMargin time.Duration `cbor:"2,keyasint"`
 	// UnloadLead is how long before the end of its tenure an agent starts to
 	// unload. Default 3 min.
@@ -130,16 +132,16 @@
 	OrderValidity time.Duration `cbor:"4,keyasint"`
 	// ReportInterval is the time between two reports of an agent. Default 10 s.
 	ReportInterval time.Duration `cbor:"5,keyasint"`
-	// RosterInterval is the least time between two writes of a roster.
+	// RosterInterval is the minimum time between two writes of a roster.
 	// Default 10 s.
 	RosterInterval time.Duration `cbor:"6,keyasint"`
 	// StewardLease is the time to live of the steward's KV lease. Default 15 s.
 	StewardLease time.Duration `cbor:"7,keyasint"`
-	// Grace is how long a steward that came to office, or saw the KV service
-	// return, waits before the first reassignment. Default 30 s.
+	// Grace is how long a steward waits before its first reassignment after it
+	// took over, or after the KV service became reachable again. Default 30 s.
 	Grace time.Duration `cbor:"8,keyasint"`
-	// PingInterval is the time between two pings on a connection; three
-	// without an answer end it. Default 5 s.
+	// PingInterval is the time between two pings on a connection, which is closed
+	// after three intervals without an answer. Default 5 s.
 	PingInterval time.Duration `cbor:"9,keyasint"`
 }
 
