--- a/internal/runtime/loop.go
+++ b/internal/runtime/loop.go
@@ -1,6 +1,6 @@
-// Package runtime runs a reducer in a process: one goroutine takes events from
-// a queue, steps the reducer and hands the effects to executors, which do I/O
-// on goroutines of their own and post the results back as events.
+// Package runtime runs a reducer in a process. One goroutine takes events from a
+// queue, steps the reducer and passes the effects to executors, which do I/O on
+// their own goroutines and post the results back as events.
 package runtime
 
 import (
@@ -17,13 +17,13 @@
 	Dump() map[string]any
 }
 
-// Executor carries out the effects that it knows. Do is called on the loop's
-// goroutine, returns at once and reports whether it took the effect.
+// Executor carries out some types of effects. Do is called on the loop's goroutine;
+// it must return without blocking and reports whether it handles the effect.
 type Executor interface {
 	Do(effect core.Effect) bool
 }
 
-// Loop owns a reducer. Create it with New, add executors, then call Run.
+// Loop runs a reducer. Create it with New, add executors, then call Run.
 type Loop struct {
 	stepper   Stepper
 	executors []Executor
@@ -35,7 +35,7 @@
 	done chan struct{}
 }
 
-// New returns a loop for a reducer. The recorder may be nil.
+// New returns a loop for a reducer. If recorder is not nil, it records all steps.
 func New(stepper Stepper, recorder *Recorder) *Loop {
 	return &Loop{
 		stepper:  stepper,
@@ -53,8 +53,8 @@
 // Post queues an event. It never blocks and may be called from any goroutine.
 func (l *Loop) Post(event core.Event) { l.queue.Put(event) }
 
-// Run steps events until the reducer emits Exit (it returns nil) or the
-// context ends (it returns the context's error).
+// Run processes events until the reducer emits Exit, when it returns nil, or the
+// context is done, when it returns the context's error.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.done)
 	defer l.timer.Stop()
--- a/internal/runtime/queue.go
+++ b/internal/runtime/queue.go
@@ -6,14 +6,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Queue is an unbounded FIFO of events. It is unbounded because an executor
-// may post from within Do, on the loop's own goroutine: with a bound, the loop
-// would wait for itself. What bounds it is the flow control of the streams and
-// the bounded queues of requests, both decided by the reducer.
+// Queue is an unbounded FIFO queue of events. It has no bound because an executor
+// may post from within Do, on the loop's own goroutine, so that a full queue would
+// deadlock the loop. Its length is limited indirectly by the flow control of streams
+// and the bounded request queues, both of which the reducer implements.
 type Queue struct {
 	mu     sync.Mutex
 	events []core.Event
-	// ready holds a token while events may be non-empty.
+	// ready holds an element while events may be non-empty.
 	ready chan struct{}
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// Take returns all queued events and keeps spare as the next buffer.
+// Take returns all queued events and reuses spare as the buffer for the next ones.
 func (q *Queue) Take(spare []core.Event) []core.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -42,5 +42,5 @@
 	return events
 }
 
-// Ready delivers when events may be waiting.
+// Ready returns a channel that delivers when events may be queued.
 func (q *Queue) Ready() <-chan struct{} { return q.ready }
--- a/internal/runtime/record.go
+++ b/internal/runtime/record.go
@@ -11,9 +11,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Step is one recorded step of a reducer. A record is a CBOR sequence: first a
-// header chosen by the caller (what it takes to build the same reducer), then
-// steps. It holds the text of requests: handle the file as such.
+// Step is one recorded step of a reducer. A record is a CBOR sequence of a header,
+// which the caller defines and which holds what is needed to build the same reducer,
+// and the steps. It contains request text, so the file has to be treated as
+// confidential.
 type Step struct {
 	_       struct{} `cbor:",toarray"`
 	At      core.Time
@@ -21,7 +22,7 @@
 	Effects []cbor.RawMessage
 }
 
-// Recorder writes the steps of one process.
+// Recorder writes the steps of one process as a record.
 type Recorder struct {
 	mu      sync.Mutex
 	encoder *cbor.Encoder
@@ -37,7 +38,7 @@
 	return &Recorder{encoder: encoder}, nil
 }
 
-// Err returns the first error that ended the recording, if any.
+// Err returns the error that ended the recording, if any.
 func (r *Recorder) Err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,9 +74,9 @@
 	return step, nil
 }
 
-// Difference tells where a replayed reducer left the recorded run.
+// Difference describes the first step at which a replay deviates from the record.
 type Difference struct {
-	// Index counts steps from 0.
+	// Index is the index of the step, from 0.
 	Index    int
 	Event    core.Event
 	Recorded []core.Effect
@@ -85,9 +86,10 @@
 // ErrDiffers is returned by Replay when the effects are not the recorded ones.
 var ErrDiffers = errors.New("replayed effects differ from the recorded ones")
 
-// Replay feeds the steps of a record, whose header the caller has read from
-// decoder, to a fresh reducer, and compares the effects. It calls each, if not
-// nil, after every step, and returns the number of steps that agreed.
+// Replay passes the recorded events to a new reducer and compares the resulting
+// effects with the recorded ones. The caller has already read the header of the
+// record from decoder. Replay calls each, if not nil, after every step. It returns
+// the number of steps with equal effects.
 func Replay(decoder *cbor.Decoder, stepper Stepper, each func(Step, []core.Effect)) (int, *Difference, error) {
 	for index := 0; ; index++ {
 		var step Step
