--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the time that reducers live by.
+// Package clock provides the time that reducers use.
 package clock
 
 import (
@@ -9,13 +9,12 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Now returns the time since the host booted, in nanoseconds, including time
-// that the host was suspended.
+// Now returns the time since the host booted, in nanoseconds.
 //
-// The guard is against a host that is suspended or migrated: CLOCK_MONOTONIC,
-// which package time uses, stands still meanwhile, so that an agent would wake
-// up believing in a tenure that others have long taken for over, and would
-// load a slot that has a new owner. CLOCK_BOOTTIME counts on.
+// It uses CLOCK_BOOTTIME, which includes the time that the host was suspended or
+// migrated. CLOCK_MONOTONIC, which package time uses, stops during that time: an
+// agent would resume with a tenure that has expired for all other processes, and
+// would load a slot that has a new owner.
 func Now() core.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -24,8 +23,8 @@
 	return core.Time(ts.Nano())
 }
 
-// Until returns the duration from now to t, at most a day, so that it suits a
-// timer also when t is core.Never.
+// Until returns the duration from now to t, at most a day, so that the result can
+// be used for a timer even if t is core.Never.
 func Until(t core.Time) time.Duration {
 	const longest = 24 * time.Hour
 	if t == core.Never {
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in options that were left at their zero value.
+// Package defaults sets defaults for options that have their zero value.
 package defaults
 
-// Set gives a field its default if it is zero.
+// Set sets a field to value if it is zero.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
