--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -203,7 +203,7 @@
 		return
 	}
 	for i, g := range p.gates {
-		if p.reaches(now, i) && g.Update(now.Add(2*messageDelay), FromMessage(now.Add(2*messageDelay), broadcast.Word)) {
+		if p.reaches(now, i) && g.Update(now.Add(2*messageDelay), FromMessage(now.Add(2*messageDelay), broadcast.Limit)) {
 			p.ask(now.Add(3*messageDelay), i, 0, false)
 		}
 	}
@@ -212,7 +212,7 @@
 func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, broadcast *core.LimitTold) {
 	g := p.gates[router]
 	return p.limiter.Handle(now, core.LimitAsk{
-		Server: core.ServerLife{Instance: "server"}, Word: g.Message(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
+		Server: core.ServerLife{Instance: "server"}, Limit: g.Message(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
 	})
 }
 
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -81,7 +81,7 @@
 }
 
 // Message returns the last announcement as a message.
-func (g *Gate) Message(now core.Time) core.LimitWord { return g.announcement.message(now) }
+func (g *Gate) Message(now core.Time) core.ReportedLimit { return g.announcement.message(now) }
 
 // TakeUncounted returns and resets the counts of requests sent without a permit, to be
 // reported to the loader that counts; nil if there are none.
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -43,7 +43,7 @@
 	}
 	s.updatedAt = now
 	before := s.announcement.Named
-	changed := s.update(now, ask.Word)
+	changed := s.update(now, ask.Limit)
 	s.bucket.sent.AddParts(now, ask.Uncounted)
 	if changed && (before || s.announcement.Named) {
 		broadcast = s.message(now)
@@ -77,7 +77,7 @@
 	return &core.LimitTold{Server: ask.Server, Ask: ask.Ask, Spare: ask.Spare, Room: maxRetryDelay}
 }
 
-func (s *limitedServer) update(now core.Time, message core.LimitWord) (changed bool) {
+func (s *limitedServer) update(now core.Time, message core.ReportedLimit) (changed bool) {
 	s.announcement, changed = s.announcement.Update(FromMessage(now, message))
 	if changed && s.announcement.Named {
 		s.bucket.setRate(now, max(MinPerSecond, s.announcement.PerSecond))
@@ -105,7 +105,7 @@
 
 // message returns the message that announces the server's limit to routers.
 func (s *limitedServer) message(now core.Time) *core.LimitTold {
-	return &core.LimitTold{Server: s.life, Word: s.announcement.message(now)}
+	return &core.LimitTold{Server: s.life, Limit: s.announcement.message(now)}
 }
 
 // Active returns the limits in force, for a router that has just connected.
@@ -149,7 +149,7 @@
 }
 
 // FromMessage converts a message to an Announcement in this process's time.
-func FromMessage(now core.Time, message core.LimitWord) Announcement {
+func FromMessage(now core.Time, message core.ReportedLimit) Announcement {
 	if message.HeardAgo == 0 {
 		return Announcement{} // none received yet; see Announcement.message
 	}
@@ -161,11 +161,11 @@
 
 // message converts the announcement to a message. HeardAgo is 0 only if none was
 // received.
-func (a Announcement) message(now core.Time) core.LimitWord {
+func (a Announcement) message(now core.Time) core.ReportedLimit {
 	if !a.received() {
-		return core.LimitWord{}
+		return core.ReportedLimit{}
 	}
-	return core.LimitWord{
+	return core.ReportedLimit{
 		Named: a.Named, PerSecond: a.PerSecond, SentAgo: now.Sub(a.Sent), HeardAgo: max(1, now.Sub(a.Received)),
 	}
 }
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -12,7 +12,7 @@
 func limitAsk(born int64, perSecond float64, request uint64) core.LimitAsk {
 	return core.LimitAsk{
 		Server: life(born), Ask: request,
-		Word: core.LimitWord{Named: true, PerSecond: perSecond, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond},
+		Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond},
 	}
 }
 
@@ -97,18 +97,18 @@
 	l := NewLimiter()
 	at := start
 	for i, step := range []struct {
-		message   core.LimitWord
+		message   core.ReportedLimit
 		broadcast bool
 	}{
-		{core.LimitWord{}, false},
-		{limitAsk(0, 5, 0).Word, true},
-		{limitAsk(0, 5, 0).Word, false},
-		{limitAsk(0, 9, 0).Word, true},
-		{core.LimitWord{SentAgo: 2, HeardAgo: 1}, true},
-		{core.LimitWord{SentAgo: 2, HeardAgo: 1}, false},
+		{core.ReportedLimit{}, false},
+		{limitAsk(0, 5, 0).Limit, true},
+		{limitAsk(0, 5, 0).Limit, false},
+		{limitAsk(0, 9, 0).Limit, true},
+		{core.ReportedLimit{SentAgo: 2, HeardAgo: 1}, true},
+		{core.ReportedLimit{SentAgo: 2, HeardAgo: 1}, false},
 	} {
 		at = at.Add(time.Second)
-		_, broadcast := l.Handle(at, core.LimitAsk{Server: life(0), Word: step.message})
+		_, broadcast := l.Handle(at, core.LimitAsk{Server: life(0), Limit: step.message})
 		if (broadcast != nil) != step.broadcast {
 			t.Errorf("message %d: broadcast %+v", i, broadcast)
 		}
--- a/internal/loader/announce.go
+++ b/internal/loader/announce.go
@@ -104,7 +104,7 @@
 	case due.heartbeat:
 		t.sentAt = l.now
 		l.sendCounts(holdings)
-	case l.now.Sub(t.countsSentAt) >= l.countsInterval() && !holdings.Counts().About(t.holdings.Counts()):
+	case l.now.Sub(t.countsSentAt) >= l.countsInterval() && !holdings.Counts().ApproxEqual(t.holdings.Counts()):
 		l.sendCounts(holdings)
 	}
 }
@@ -125,7 +125,7 @@
 // receivesDirectly reports whether a router receives heartbeats and counts from this
 // loader itself.
 func (l *Loader) receivesDirectly(r *router) bool {
-	return !l.digested || r.demand.Expects() || r.name == l.coordinator()
+	return !l.digested || r.demand.ExpectsUpdates() || r.name == l.coordinator()
 }
 
 // countsInterval returns the minimum time between two messages with counts.
--- a/internal/loader/limits.go
+++ b/internal/loader/limits.go
@@ -19,7 +19,7 @@
 		return
 	}
 	l.log("backend server limit changed", slog.String("instance", broadcast.Server.Instance), slog.Int64("born", broadcast.Server.Born),
-		slog.Bool("named", broadcast.Word.Named), slog.Float64("per_second", broadcast.Word.PerSecond), slog.String("told_by", string(e.Router)))
+		slog.Bool("named", broadcast.Limit.Named), slog.Float64("per_second", broadcast.Limit.PerSecond), slog.String("told_by", string(e.Router)))
 	l.emit(SendLimit{Routers: l.names, Limit: *broadcast})
 }
 
--- a/internal/loader/limits_test.go
+++ b/internal/loader/limits_test.go
@@ -14,17 +14,17 @@
 	for _, name := range []core.HostID{"r1", "r2"} {
 		w.step(RouterUp{Router: name})
 	}
-	announcement := core.LimitWord{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
+	announcement := core.ReportedLimit{Named: true, PerSecond: 3, SentAgo: 2, HeardAgo: 1}
 	server := core.ServerLife{Instance: "s"}
-	w.step(LimitRequested{Router: "r1", Ask: core.LimitAsk{Server: server, Word: announcement}})
+	w.step(LimitRequested{Router: "r1", Ask: core.LimitAsk{Server: server, Limit: announcement}})
 	w.step(RouterUp{Router: "r3"})
 	for _, name := range []core.HostID{"r1", "r2", "r3"} {
 		sent := w.limits[name]
-		if len(sent) != 1 || sent[0].Server != server || !sent[0].Word.Named || sent[0].Word.PerSecond != 3 {
+		if len(sent) != 1 || sent[0].Server != server || !sent[0].Limit.Named || sent[0].Limit.PerSecond != 3 {
 			t.Errorf("%s was sent %+v, want the limit once", name, sent)
 		}
 	}
-	w.step(LimitRequested{Router: "r2", Ask: core.LimitAsk{Server: server, Word: announcement, Ask: 7}})
+	w.step(LimitRequested{Router: "r2", Ask: core.LimitAsk{Server: server, Limit: announcement, Ask: 7}})
 	if n := len(w.limits["r1"]) + len(w.limits["r3"]); n != 2 {
 		t.Errorf("the others were sent %d answers to another router's request", n-2)
 	}
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -57,7 +57,7 @@
 	if !l.dirty && past < demandKeepalive && sameDemand(l.lastDemand, demand, past) {
 		return
 	}
-	if demand.Expects() && !l.lastDemand.Expects() {
+	if demand.ExpectsUpdates() && !l.lastDemand.ExpectsUpdates() {
 		l.expectedSince = r.now
 	}
 	l.dirty, l.demandSentAt, l.lastDemand = false, r.now, demand
--- a/internal/router/digest.go
+++ b/internal/router/digest.go
@@ -104,7 +104,7 @@
 // changed, changed in the last one, or are due in the round.
 func (r *Router) needsDigest(l *loader, place int) bool {
 	counts := l.holdings.Counts()
-	if changed := !counts.About(l.digested.counts); changed || place%digestRounds == r.digests.sent%digestRounds {
+	if changed := !counts.ApproxEqual(l.digested.counts); changed || place%digestRounds == r.digests.sent%digestRounds {
 		l.digested = digested{counts: counts, resend: changed}
 		return true
 	}
@@ -159,7 +159,7 @@
 	switch {
 	case !r.coveredByDigest(l):
 		return 0
-	case l.lastDemand.Expects():
+	case l.lastDemand.ExpectsUpdates():
 		return l.expectedSince
 	default:
 		return core.Never
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -63,7 +63,7 @@
 	}
 	incarnation := fleet.Incarnation{Instance: e.Answer.Server.Instance, Born: e.Answer.Server.Born}
 	if incarnation.Compare(b.Incarnation) == 0 {
-		r.applyLimit(b, "loader "+string(e.Loader), limit.FromMessage(r.now, e.Answer.Word))
+		r.applyLimit(b, "loader "+string(e.Loader), limit.FromMessage(r.now, e.Answer.Limit))
 	}
 	if e.Answer.Ask != 0 {
 		r.permitAnswered(b, e.Answer)
@@ -168,7 +168,7 @@
 
 func (r *Router) limitMessage(b *backend) core.LimitAsk {
 	return core.LimitAsk{
-		Server: serverLife(b.Incarnation), Word: b.limit.gate.Message(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
+		Server: serverLife(b.Incarnation), Limit: b.limit.gate.Message(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
 	}
 }
 
