--- a/internal/front/answer_test.go
+++ b/internal/front/answer_test.go
@@ -19,10 +19,10 @@
 
 // answerWith lets a request arrive, answers it with effects and returns what
 // the caller gets.
-func (h *harness) answerWith(r *http.Request, effects func(core.RequestID) []core.Effect) result {
+func (h *harness) serveWith(r *http.Request, effects func(core.RequestID) []core.Effect) result {
 	h.t.Helper()
 	done := h.start(r)
-	id := next[core.RequestArrived](h).ID
+	id := nextEvent[core.RequestArrived](h).ID
 	for _, effect := range effects(id) {
 		if !h.front.Do(effect) {
 			h.t.Fatalf("%T was not taken", effect)
@@ -33,9 +33,9 @@
 
 // TestStreamedAnswer: an inspector sees "K?che" in a defect line, because the
 // two bytes of "ü" came in two tokens, each sent as text of its own.
-func TestStreamedAnswer(t *testing.T) {
+func TestStreamedAnswerJoinsSplitCharacters(t *testing.T) {
 	h := newHarness(t)
-	got := h.answerWith(h.request("POST", completionsPath, streamBody), func(id core.RequestID) []core.Effect {
+	got := h.serveWith(h.request("POST", completionsPath, streamBody), func(id core.RequestID) []core.Effect {
 		return []core.Effect{
 			core.RespondHead{ID: id, Status: 200},
 			tokens(id, "K\xc3", "\xbcche: ", `"Riss"`),
@@ -43,8 +43,8 @@
 			core.RespondEnd{ID: id},
 		}
 	})
-	want := streamed{text: "Küche: \"Riss\"\n<b>🪁", chunks: 1 + 7 + 1, finish: "stop", done: true}
-	if diff := cmp.Diff(want, parseStream(t, got.body), cmp.AllowUnexported(streamed{})); diff != "" {
+	want := parsedStream{text: "Küche: \"Riss\"\n<b>🪁", chunks: 1 + 7 + 1, finish: "stop", done: true}
+	if diff := cmp.Diff(want, parseStream(t, got.body), cmp.AllowUnexported(parsedStream{})); diff != "" {
 		t.Errorf("(-want +got):\n%s\n%s", diff, got.body)
 	}
 	if kind := got.response.Header.Get("Content-Type"); kind != "text/event-stream" {
@@ -52,13 +52,13 @@
 	}
 	frames := uint32(0)
 	for frames < 2 {
-		frames += next[core.CallerTook](h).Frames
+		frames += nextEvent[core.CallerTook](h).Frames
 	}
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestBufferedAnswer(t *testing.T) {
 	h := newHarness(t)
-	got := h.answerWith(h.request("POST", completionsPath, chatBody+"}"), func(id core.RequestID) []core.Effect {
+	got := h.serveWith(h.request("POST", completionsPath, chatBody+"}"), func(id core.RequestID) []core.Effect {
 		return []core.Effect{
 			core.RespondHead{ID: id, Status: 200}, tokens(id, "a", "b", "c\xc3"),
 			tokens(id, "\xbc", "e", "f", "g", "h", "i"), core.RespondEnd{ID: id},
@@ -119,7 +119,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := h.answerWith(h.request("POST", completionsPath, test.body), test.effects)
+			got := h.serveWith(h.request("POST", completionsPath, test.body), test.effects)
 			header := got.response.Header
 			if got.response.StatusCode != test.status || header.Get("Nutmeglane-Not-Run") != test.notRun {
 				t.Errorf("got %d %v %s", got.response.StatusCode, header, got.body)
@@ -131,12 +131,12 @@
 				return
 			}
 			s := parseStream(t, got.body)
-			if s.done || s.finish != "" || s.errorOf != test.code || s.text != "half" {
+			if s.done || s.finish != "" || s.errorName != test.code || s.text != "half" {
 				t.Errorf("got %+v", s)
 			}
 		})
 	}
-	got := h.answerWith(h.request("POST", completionsPath, streamBody),
+	got := h.serveWith(h.request("POST", completionsPath, streamBody),
 		func(id core.RequestID) []core.Effect { return []core.Effect{end(id, code.QueueFull)} })
 	if after := got.response.Header.Get("Retry-After"); after != "2" {
 		t.Errorf("Retry-After %q, want 1.1 s rounded up", after)
@@ -145,7 +145,7 @@
 
 func TestServiceAnswer(t *testing.T) {
 	h := newHarness(t)
-	got := h.answerWith(h.request("POST", "/services/akte/rooms", "x"), func(id core.RequestID) []core.Effect {
+	got := h.serveWith(h.request("POST", "/services/akte/rooms", "x"), func(id core.RequestID) []core.Effect {
 		return []core.Effect{
 			core.RespondHead{ID: id, Status: 201, Header: []core.HeaderKV{
 				{Name: "x-room", Value: "3"}, {Name: "Connection", Value: "close"}, {Name: "Nutmeglane-Not-Run", Value: "true"}}},
@@ -166,7 +166,7 @@
 // whole, so the caller's connection must break instead.
 func TestCutServiceAnswer(t *testing.T) {
 	h := newHarness(t)
-	got := h.answerWith(h.request("GET", "/services/akte/rooms", ""), func(id core.RequestID) []core.Effect {
+	got := h.serveWith(h.request("GET", "/services/akte/rooms", ""), func(id core.RequestID) []core.Effect {
 		return []core.Effect{
 			core.RespondHead{ID: id, Status: 200},
 			core.RespondData{ID: id, Count: 1, Payload: []byte("secret half")},
@@ -184,7 +184,7 @@
 // TestSlowCaller: a marshal's quick answer hangs while a tablet in a lift
 // reads nothing. Both answers come from one reducer loop, which must not wait
 // for the tablet's full connection.
-func TestSlowCaller(t *testing.T) {
+func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	h := newHarness(t)
 	const frames, frameBytes = 32, 1 << 20 // more than the kernel's buffers hold
 	ctx, leave := context.WithCancel(t.Context())
@@ -197,7 +197,7 @@
 		}
 		opened <- response
 	}()
-	slow := next[core.RequestArrived](h).ID
+	slow := nextEvent[core.RequestArrived](h).ID
 	h.front.Do(core.RespondHead{ID: slow, Status: 200})
 	response := <-opened
 	if response == nil {
@@ -207,7 +207,7 @@
 	for range frames {
 		h.front.Do(core.RespondData{ID: slow, Count: 1, Payload: make([]byte, frameBytes)})
 	}
-	fast := h.answerWith(h.request("GET", "/services/akte/y", ""), func(id core.RequestID) []core.Effect {
+	fast := h.serveWith(h.request("GET", "/services/akte/y", ""), func(id core.RequestID) []core.Effect {
 		return []core.Effect{core.RespondHead{ID: id, Status: 200},
 			core.RespondData{ID: id, Count: 1, Payload: []byte("quick")}, core.RespondEnd{ID: id}}
 	})
@@ -215,7 +215,7 @@
 		t.Errorf("fast caller got %q, %v", fast.body, fast.err)
 	}
 	leave()
-	if gone := next[core.CallerGone](h); gone.ID != slow {
+	if gone := nextEvent[core.CallerGone](h); gone.ID != slow {
 		t.Errorf("%s went, want the slow caller", gone.ID)
 	}
 }
@@ -226,12 +226,12 @@
 	h := newHarness(t)
 	ctx, leave := context.WithCancel(t.Context())
 	done := h.start(h.request("POST", completionsPath, streamBody).WithContext(ctx))
-	id := next[core.RequestArrived](h).ID
+	id := nextEvent[core.RequestArrived](h).ID
 	leave()
 	if got := h.wait(done); !errors.Is(got.err, context.Canceled) {
 		t.Errorf("got %v", got.err)
 	}
-	if gone := next[core.CallerGone](h); gone.ID != id {
+	if gone := nextEvent[core.CallerGone](h); gone.ID != id {
 		t.Errorf("%s went, want %s", gone.ID, id)
 	}
 	h.front.Do(tokens(id, "late"))
@@ -240,10 +240,10 @@
 
 // TestOverflow: an entry runs out of memory, because frames for a caller that
 // reads nothing pile up without a bound after a fault of the flow control.
-func TestOverflow(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), hang)
+func TestEffectQueueOverflow(t *testing.T) {
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	c := newCall(4)
+	c := newEffectQueue(4)
 	for range 100 {
 		c.push(core.RespondData{})
 	}
@@ -290,7 +290,7 @@
 // Guards against a reset of a caller's next request: an answer that is whole by its length
 // has no end yet when its agent dies, and the connection that the caller uses again was
 // closed for it.
-func TestAnswerThatIsWholeByItsLengthEndsThere(t *testing.T) {
+func TestAnswerEndsAtItsContentLength(t *testing.T) {
 	answers := map[string]struct {
 		method string
 		head   core.RespondHead
@@ -305,7 +305,7 @@
 			h := newHarness(t)
 			h.server.Client().Transport.(*http.Transport).MaxConnsPerHost = 1
 			first := h.start(h.request(a.method, "/services/akte/flats", "{}"))
-			id := next[core.RequestArrived](h).ID
+			id := nextEvent[core.RequestArrived](h).ID
 			a.head.ID = id
 			h.front.Do(a.head)
 			if a.data != "" {
@@ -317,7 +317,7 @@
 			second := h.start(h.request("POST", "/services/akte/charges", "{}"))
 			h.front.Do(core.RespondEnd{ID: id, Code: code.AnswerCut}) // its agent has died
 			arrived := make(chan core.RequestID, 1)
-			go func() { arrived <- next[core.RequestArrived](h).ID }()
+			go func() { arrived <- nextEvent[core.RequestArrived](h).ID }()
 			select {
 			case got := <-second:
 				t.Fatalf("the next request on the connection: %v", got.err)
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -21,29 +21,29 @@
 // answer: at twice the window the call overflows, and its answer is broken
 // off. Twice, because an agent that resumes an answer may cut it into smaller
 // frames than those that the window was granted for.
-type call struct {
+type effectQueue struct {
 	limit int
 	ready chan struct{}
 
-	mu       sync.Mutex
-	queue    []core.Effect
-	overflow bool
+	mu         sync.Mutex
+	effects    []core.Effect
+	overflowed bool
 }
 
-func newCall(window int) *call {
-	return &call{limit: 2*window + answerParts, ready: make(chan struct{}, 1)}
+func newEffectQueue(window int) *effectQueue {
+	return &effectQueue{limit: 2*window + nonDataEffects, ready: make(chan struct{}, 1)}
 }
 
 // answerParts is the number of effects of an answer beside data: head and end.
-const answerParts = 2
+const nonDataEffects = 2
 
-func (c *call) push(effect core.Effect) {
+func (c *effectQueue) push(effect core.Effect) {
 	c.mu.Lock()
-	if len(c.queue) >= c.limit {
-		c.overflow = true
+	if len(c.effects) >= c.limit {
+		c.overflowed = true
 	}
-	if !c.overflow {
-		c.queue = append(c.queue, effect)
+	if !c.overflowed {
+		c.effects = append(c.effects, effect)
 	}
 	c.mu.Unlock()
 	select {
@@ -53,11 +53,11 @@
 }
 
 // take waits for effects and returns all there are.
-func (c *call) take(ctx context.Context) ([]core.Effect, error) {
+func (c *effectQueue) take(ctx context.Context) ([]core.Effect, error) {
 	for {
 		c.mu.Lock()
-		batch, overflow := c.queue, c.overflow
-		c.queue = nil
+		batch, overflow := c.effects, c.overflowed
+		c.effects = nil
 		c.mu.Unlock()
 		switch {
 		case len(batch) > 0:
@@ -75,7 +75,7 @@
 
 // answer writes the parts of an answer to a caller in one of the forms. An
 // error of head, data or flush ends the request.
-type answer interface {
+type answerWriter interface {
 	head(core.RespondHead) error
 	data(core.RespondData) error
 	// flush brings all data so far on its way to the caller.
@@ -87,48 +87,48 @@
 }
 
 // brokenAnswer is an error for an answer that the backend server spoiled.
-type brokenAnswer struct{ code code.Code }
+type answerError struct{ code code.Code }
 
 // Error implements error.
-func (b brokenAnswer) Error() string { return "broken answer: " + b.code.String() }
+func (b answerError) Error() string { return "broken answer: " + b.code.String() }
 
 // relay posts a request and writes its answer until either side ends it.
-func (f *Front) relay(in *incoming, arrived core.RequestArrived, to answer) {
-	c := newCall(f.opts.StreamWindow)
+func (f *Front) relay(in *incoming, arrived core.RequestArrived, to answerWriter) {
+	c := newEffectQueue(f.opts.StreamWindow)
 	f.mu.Lock()
-	f.calls[in.id] = c
+	f.queues[in.id] = c
 	if f.closed {
-		c.push(drained(in.id))
+		c.push(drainingEnd(in.id))
 	}
 	f.mu.Unlock()
-	defer f.forget(in.id)
+	defer f.removeQueue(in.id)
 	f.post(arrived)
 	for {
 		batch, err := c.take(in.r.Context())
 		if err != nil {
-			f.giveUp(in, to, err)
+			f.abort(in, to, err)
 			return
 		}
-		if done := f.write(in, batch, to); done {
+		if done := f.writeBatch(in, batch, to); done {
 			return
 		}
 	}
 }
 
-func (f *Front) forget(id core.RequestID) {
+func (f *Front) removeQueue(id core.RequestID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.calls, id)
+	delete(f.queues, id)
 }
 
 // write writes a batch and reports whether the answer has ended.
-func (f *Front) write(in *incoming, batch []core.Effect, to answer) bool {
-	frames, end, err := writeParts(batch, to)
+func (f *Front) writeBatch(in *incoming, batch []core.Effect, to answerWriter) bool {
+	frames, end, err := writeEffects(batch, to)
 	if err == nil {
 		err = to.flush()
 	}
 	if err != nil {
-		f.giveUp(in, to, err)
+		f.abort(in, to, err)
 		return true
 	}
 	if frames > 0 {
@@ -143,7 +143,7 @@
 	return end != nil
 }
 
-func writeParts(batch []core.Effect, to answer) (frames uint32, end *core.RespondEnd, err error) {
+func writeEffects(batch []core.Effect, to answerWriter) (frames uint32, end *core.RespondEnd, err error) {
 	for _, effect := range batch {
 		switch e := effect.(type) {
 		case core.RespondHead:
@@ -163,10 +163,10 @@
 
 // giveUp ends a request whose caller went away or whose answer is broken. The
 // reducer learns of both as CallerGone, and cancels the run.
-func (f *Front) giveUp(in *incoming, to answer, err error) {
+func (f *Front) abort(in *incoming, to answerWriter, err error) {
 	f.post(core.CallerGone{ID: in.id})
 	result := code.AnswerCut
-	var broken brokenAnswer
+	var broken answerError
 	if errors.As(err, &broken) {
 		result = broken.code
 	}
--- a/internal/front/completion.go
+++ b/internal/front/completion.go
@@ -18,7 +18,7 @@
 
 // Completion is the body of a chat completion, as far as the system reads it.
 // The body goes to the engine as it came, with all other fields.
-type Completion struct {
+type CompletionRequest struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages"`
 	Stream              bool      `json:"stream"`
@@ -36,7 +36,7 @@
 }
 
 // limit returns the number of tokens asked for, or 0.
-func (c *Completion) limit() int64 {
+func (c *CompletionRequest) tokenLimit() int64 {
 	switch {
 	case c.MaxCompletionTokens != nil:
 		return *c.MaxCompletionTokens
@@ -49,7 +49,7 @@
 
 // prefixHash returns the hash by which engines name the cached prefix of the
 // prompt.
-func (c *Completion) prefixHash() uint64 {
+func (c *CompletionRequest) prefixHash() uint64 {
 	contents := make([]json.RawMessage, len(c.Messages))
 	for i, m := range c.Messages {
 		contents[i] = m.Content
@@ -57,10 +57,10 @@
 	return engineapi.PrefixHash(engineapi.Prompt(contents))
 }
 
-func parseCompletion(body []byte) (*Completion, *refusal) {
-	parsed := &Completion{}
+func parseCompletion(body []byte) (*CompletionRequest, *refusal) {
+	parsed := &CompletionRequest{}
 	if err := json.Unmarshal(body, parsed); err != nil {
-		return nil, bodyRefusal(err)
+		return nil, malformedBody(err)
 	}
 	if refused := parsed.check(); refused != nil {
 		return nil, refused
@@ -69,7 +69,7 @@
 }
 
 // bodyRefusal names the place of a fault without quoting the body.
-func bodyRefusal(err error) *refusal {
+func malformedBody(err error) *refusal {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		field := wrongType.Field
@@ -97,7 +97,7 @@
 	return &refusal{code: code.BadField, field: field, message: message}
 }
 
-func (c *Completion) check() *refusal {
+func (c *CompletionRequest) check() *refusal {
 	if c.Model == "" {
 		return badField("model", "is required")
 	}
@@ -108,14 +108,14 @@
 		if m.Role == "" {
 			return badField(fmt.Sprintf("messages[%d].role", i), "is required")
 		}
-		if !contentFits(m.Content) {
+		if !isValidContent(m.Content) {
 			return badField(fmt.Sprintf("messages[%d].content", i), "want a string, null or an array of parts")
 		}
 	}
 	return c.checkNumbers()
 }
 
-func (c *Completion) checkNumbers() *refusal {
+func (c *CompletionRequest) checkNumbers() *refusal {
 	if c.MaxTokens != nil && *c.MaxTokens < 1 {
 		return badField("max_tokens", "want 1 or more")
 	}
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func contentFits(content json.RawMessage) bool {
+func isValidContent(content json.RawMessage) bool {
 	if len(content) == 0 {
 		return true
 	}
@@ -142,7 +142,7 @@
 	if encoding := in.r.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
 		return badHeader("Content-Encoding", "want an unencoded body")
 	}
-	arrived, refused := in.begin()
+	arrived, refused := in.readRequest()
 	if refused != nil {
 		return refused
 	}
@@ -150,7 +150,7 @@
 	if refused != nil {
 		return refused
 	}
-	target, ok := in.view.target(parsed.Model)
+	target, ok := in.config.resolveTarget(parsed.Model)
 	if !ok {
 		return &refusal{code: code.UnknownModel, field: "model"}
 	}
--- a/internal/front/completion_answer.go
+++ b/internal/front/completion_answer.go
@@ -15,7 +15,7 @@
 )
 
 // meta is what the parts of a completion's answer share.
-type meta struct {
+type completionState struct {
 	in      *incoming
 	model   string
 	limit   int64
@@ -24,24 +24,24 @@
 	joiner  textJoiner
 }
 
-func newCompletionAnswer(in *incoming, parsed *Completion) answer {
-	m := meta{in: in, model: parsed.Model, limit: parsed.limit(), created: in.arrived.Unix()}
+func newCompletionAnswer(in *incoming, parsed *CompletionRequest) answerWriter {
+	m := completionState{in: in, model: parsed.Model, limit: parsed.tokenLimit(), created: in.arrived.Unix()}
 	if parsed.Stream {
 		return newStreamedAnswer(m)
 	}
-	return &wholeAnswer{meta: m}
+	return &bufferedAnswer{completionState: m}
 }
 
 // head checks the engine's status. Nothing is sent to the caller before the
 // first token, so that a failure before it still gets its true status.
-func (m *meta) head(head core.RespondHead) error {
+func (m *completionState) head(head core.RespondHead) error {
 	if head.Status != http.StatusOK && head.Status != 0 {
-		return brokenAnswer{code.BackendFailed}
+		return answerError{code.BackendFailed}
 	}
 	return nil
 }
 
-func (m *meta) finishReason() string {
+func (m *completionState) finishReason() string {
 	if m.limit > 0 && m.tokens >= m.limit {
 		return finishLength
 	}
@@ -50,7 +50,7 @@
 
 // appendEnvelope appends the fields that every object of an answer begins
 // with.
-func (m *meta) appendEnvelope(to []byte, object string) []byte {
+func (m *completionState) appendEnvelope(to []byte, object string) []byte {
 	to = append(to, `{"id":"chatcmpl-`...)
 	to = append(to, m.in.id.String()...)
 	to = append(to, `","object":"`...)
@@ -63,39 +63,39 @@
 
 // streamedAnswer writes server-sent events, a chunk for each token.
 type streamedAnswer struct {
-	meta
+	completionState
 	// prefix begins each chunk, up to its delta.
 	prefix  []byte
 	pending []byte
-	begun   bool
+	started bool
 }
 
-func newStreamedAnswer(m meta) *streamedAnswer {
+func newStreamedAnswer(m completionState) *streamedAnswer {
 	prefix := m.appendEnvelope([]byte("data: "), "chat.completion.chunk")
-	return &streamedAnswer{meta: m, prefix: append(prefix, `,"choices":[{"index":0,"delta":`...)}
+	return &streamedAnswer{completionState: m, prefix: append(prefix, `,"choices":[{"index":0,"delta":`...)}
 }
 
 func (s *streamedAnswer) data(data core.RespondData) error {
-	return eachToken(data, func(token []byte) {
-		s.begin()
+	return forEachToken(data, func(token []byte) {
+		s.start()
 		s.tokens++
-		s.content(s.joiner.next(token))
+		s.appendContent(s.joiner.next(token))
 	})
 }
 
-func (s *streamedAnswer) begin() {
-	if s.begun {
+func (s *streamedAnswer) start() {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	header := s.in.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	s.in.w.WriteHeader(http.StatusOK)
-	s.chunk(`{"role":"assistant","content":""}`, "")
+	s.appendChunk(`{"role":"assistant","content":""}`, "")
 }
 
-func (s *streamedAnswer) content(text []byte) {
+func (s *streamedAnswer) appendContent(text []byte) {
 	s.pending = append(s.pending, s.prefix...)
 	s.pending = append(s.pending, `{"content":`...)
 	s.pending = appendJSONString(s.pending, text)
@@ -103,7 +103,7 @@
 }
 
 // chunk appends a chunk with a ready delta; an empty finish means null.
-func (s *streamedAnswer) chunk(delta, finish string) {
+func (s *streamedAnswer) appendChunk(delta, finish string) {
 	s.pending = append(s.pending, s.prefix...)
 	s.pending = append(s.pending, delta...)
 	s.pending = append(s.pending, `,"finish_reason":`...)
@@ -116,7 +116,7 @@
 }
 
 // complete implements answer: the caller waits for the end.
-func (m *meta) complete() bool { return false }
+func (m *completionState) complete() bool { return false }
 
 func (s *streamedAnswer) flush() error {
 	if len(s.pending) == 0 {
@@ -134,16 +134,16 @@
 // an error event and the end of the stream, so a client that waits for [DONE]
 // can't take a cut answer for a whole one.
 func (s *streamedAnswer) end(end core.RespondEnd) {
-	if end.Code != code.OK && !s.begun {
+	if end.Code != code.OK && !s.started {
 		s.in.writeRefusal(refusalOf(end))
 		return
 	}
-	s.begin()
+	s.start()
 	if end.Code == code.OK {
 		if rest := s.joiner.rest(); len(rest) > 0 {
-			s.content(rest)
+			s.appendContent(rest)
 		}
-		s.chunk("{}", s.finishReason())
+		s.appendChunk("{}", s.finishReason())
 		s.pending = append(s.pending, "data: [DONE]\n\n"...)
 	} else {
 		s.pending = append(s.pending, "event: error\ndata: "...)
@@ -154,24 +154,24 @@
 }
 
 // wholeAnswer holds a completion until it is whole and writes one object.
-type wholeAnswer struct {
-	meta
+type bufferedAnswer struct {
+	completionState
 	text []byte
 }
 
-func (a *wholeAnswer) data(data core.RespondData) error {
+func (a *bufferedAnswer) data(data core.RespondData) error {
 	if int64(len(a.text)+len(data.Payload)) > a.in.opts.MaxAnswerBytes {
-		return brokenAnswer{code.AnswerCut}
+		return answerError{code.AnswerCut}
 	}
-	return eachToken(data, func(token []byte) {
+	return forEachToken(data, func(token []byte) {
 		a.tokens++
 		a.text = append(a.text, token...)
 	})
 }
 
-func (a *wholeAnswer) flush() error { return nil }
+func (a *bufferedAnswer) flush() error { return nil }
 
-func (a *wholeAnswer) end(end core.RespondEnd) {
+func (a *bufferedAnswer) end(end core.RespondEnd) {
 	if end.Code != code.OK {
 		a.in.writeRefusal(refusalOf(end))
 		return
--- a/internal/front/view.go
+++ b/internal/front/configindex.go
@@ -11,23 +11,23 @@
 )
 
 // view is a snapshot with an index of API keys. It is immutable.
-type view struct {
+type configIndex struct {
 	*api.Snapshot
-	accounts map[[sha256.Size]byte]string
+	accountsByKey map[[sha256.Size]byte]string
 }
 
 // newView ranges in the order of names, so that all entries give a digest that
 // two client accounts declare to the same one.
-func newView(s *api.Snapshot) *view {
-	v := &view{Snapshot: s, accounts: map[[sha256.Size]byte]string{}}
+func newConfigIndex(s *api.Snapshot) *configIndex {
+	v := &configIndex{Snapshot: s, accountsByKey: map[[sha256.Size]byte]string{}}
 	for _, name := range core.SortedKeys(s.ClientAccounts) {
 		for _, text := range s.ClientAccounts[name].Spec.APIKeySHA256 {
 			digest, err := hex.DecodeString(text)
 			if err != nil || len(digest) != sha256.Size {
 				continue
 			}
-			if _, taken := v.accounts[[sha256.Size]byte(digest)]; !taken {
-				v.accounts[[sha256.Size]byte(digest)] = name
+			if _, taken := v.accountsByKey[[sha256.Size]byte(digest)]; !taken {
+				v.accountsByKey[[sha256.Size]byte(digest)] = name
 			}
 		}
 	}
@@ -36,14 +36,14 @@
 
 // client account looks an API key up by its digest, so that the time of the look-up
 // tells nothing about keys.
-func (v *view) account(key string) (string, bool) {
-	name, ok := v.accounts[sha256.Sum256([]byte(key))]
+func (v *configIndex) accountByKey(key string) (string, bool) {
+	name, ok := v.accountsByKey[sha256.Sum256([]byte(key))]
 	return name, ok
 }
 
 // target resolves "model", "model:adapter" or an adapter's own name. A model
 // goes before an adapter of the same name.
-func (v *view) target(name string) (core.Target, bool) {
+func (v *configIndex) resolveTarget(name string) (core.Target, bool) {
 	model, adapter, both := strings.Cut(name, ":")
 	if both {
 		a := v.Adapters[adapter]
@@ -61,7 +61,7 @@
 }
 
 // priority returns the declared default priority of a target.
-func (v *view) priority(t core.Target) api.Priority {
+func (v *configIndex) defaultPriority(t core.Target) api.Priority {
 	var own, base api.Priority
 	if a := v.Adapters[t.Adapter]; a != nil {
 		own = a.Spec.Priority
--- a/internal/front/deadline_test.go
+++ b/internal/front/deadline_test.go
@@ -14,14 +14,14 @@
 // TestSilentBody: a tablet loses its network halfway through sending a note.
 // Nothing more comes and nothing closes, and without a deadline the request
 // would wait in the entry for good.
-func TestSilentBody(t *testing.T) {
+func TestBodyReadDeadline(t *testing.T) {
 	h := newHarness(t)
 	conn, err := net.Dial("tcp", h.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(hang))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nRequest-Timeout: 0.05\r\nContent-Length: 99\r\n\r\n{",
 		completionsPath, testKey)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -47,7 +47,7 @@
 // off after 30 s. The deadline for reading its body still stood, and net/http,
 // which reads on to notice a closed connection, took its passing for that. The
 // deadline for writing must follow the caller's own time-out, too.
-func TestDeadlinesOfConnection(t *testing.T) {
+func TestConnectionDeadlines(t *testing.T) {
 	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
 	r := httptest.NewRequest("POST", completionsPath, strings.NewReader(chatBody))
 	r.Header.Set("Request-Timeout", "60")
@@ -55,7 +55,7 @@
 	if w.read.IsZero() || w.write.IsZero() {
 		t.Error("no deadline while the headers are checked")
 	}
-	if _, refused := in.begin(); refused != nil {
+	if _, refused := in.readRequest(); refused != nil {
 		t.Fatal(refused)
 	}
 	if want := in.arrived.Add(time.Minute + writeGrace); !w.read.IsZero() || !w.write.Equal(want) {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -76,11 +76,11 @@
 	ready atomic.Bool
 	// draining is set while readiness is off after it was on.
 	draining atomic.Bool
-	view     atomic.Pointer[view]
+	config   atomic.Pointer[configIndex]
 
 	mu     sync.Mutex
 	closed bool
-	calls  map[core.RequestID]*call
+	queues map[core.RequestID]*effectQueue
 }
 
 // New returns a Front that gives events to post. post may block; it is never
@@ -92,7 +92,7 @@
 	if opts.Count == nil {
 		opts.Count = func(core.Effect) {}
 	}
-	return &Front{opts: opts, post: post, calls: map[core.RequestID]*call{}}
+	return &Front{opts: opts, post: post, queues: map[core.RequestID]*effectQueue{}}
 }
 
 // Server returns an HTTP server for f with the timeouts that guard it against
@@ -108,7 +108,7 @@
 }
 
 // SetSnapshot puts a configuration in force for authentication and defaults.
-func (f *Front) SetSnapshot(s *api.Snapshot) { f.view.Store(newView(s)) }
+func (f *Front) SetSnapshot(s *api.Snapshot) { f.config.Store(newConfigIndex(s)) }
 
 // Close ends every call, and all to come, with Draining. It is called when the
 // reducer is done.
@@ -120,12 +120,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
-	for id, c := range f.calls {
-		c.push(drained(id))
+	for id, c := range f.queues {
+		c.push(drainingEnd(id))
 	}
 }
 
-func drained(id core.RequestID) core.RespondEnd {
+func drainingEnd(id core.RequestID) core.RespondEnd {
 	return core.RespondEnd{ID: id, Code: code.Draining, RetryAfter: notReadyRetry}
 }
 
@@ -153,7 +153,7 @@
 		return false
 	}
 	f.mu.Lock()
-	c := f.calls[id]
+	c := f.queues[id]
 	f.mu.Unlock()
 	if c != nil {
 		c.push(effect)
@@ -196,8 +196,8 @@
 	if refused != nil {
 		return refused
 	}
-	in.view = f.view.Load()
-	if in.view == nil {
+	in.config = f.config.Load()
+	if in.config == nil {
 		return &refusal{code: code.NotReady, retryAfter: notReadyRetry}
 	}
 	if refused := in.authenticate(); refused != nil {
@@ -210,9 +210,9 @@
 	path := in.r.URL.Path
 	switch {
 	case path == completionsPath:
-		return f.serveCompletion, in.allow(http.MethodPost)
+		return f.serveCompletion, in.checkMethod(http.MethodPost)
 	case path == modelsPath:
-		return f.serveModels, in.allow(http.MethodGet, http.MethodHead)
+		return f.serveModels, in.checkMethod(http.MethodGet, http.MethodHead)
 	case strings.HasPrefix(path, servicesPath):
 		return f.serveService, nil
 	default:
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -25,9 +25,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	testKey  = "key-of-helvarin"
-	hang     = 30 * time.Second // only ends a test that hangs
-	chatBody = `{"model":"report","messages":[{"role":"user","content":"damp wall"}],"max_tokens":9`
+	testKey     = "key-of-helvarin"
+	testTimeout = 30 * time.Second // only ends a test that hangs
+	chatBody    = `{"model":"report","messages":[{"role":"user","content":"damp wall"}],"max_tokens":9`
 )
 
 func testSnapshot() *api.Snapshot {
@@ -131,14 +131,14 @@
 	select {
 	case r := <-done:
 		return r
-	case <-time.After(hang):
+	case <-time.After(testTimeout):
 		h.t.Fatal("no answer")
 		return result{}
 	}
 }
 
 // next returns the next event of a type, skipping others.
-func next[E core.Event](h *harness) E {
+func nextEvent[E core.Event](h *harness) E {
 	h.t.Helper()
 	for {
 		select {
@@ -146,7 +146,7 @@
 			if e, ok := event.(E); ok {
 				return e
 			}
-		case <-time.After(hang):
+		case <-time.After(testTimeout):
 			h.t.Fatalf("no %T", *new(E))
 		}
 	}
@@ -161,24 +161,24 @@
 	return data
 }
 
-type streamed struct {
-	text     string
-	chunks   int
-	finish   string
-	done     bool
-	errorOf  string
-	leftover string
+type parsedStream struct {
+	text       string
+	chunks     int
+	finish     string
+	done       bool
+	errorName  string
+	unexpected string
 }
 
-func parseStream(t *testing.T, body string) streamed {
+func parseStream(t *testing.T, body string) parsedStream {
 	t.Helper()
-	var s streamed
+	var s parsedStream
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case !ok && lines.Text() != "" && lines.Text() != "event: error":
-			s.leftover += lines.Text()
+			s.unexpected += lines.Text()
 		case data == "[DONE]":
 			s.done = true
 		case ok:
@@ -188,7 +188,7 @@
 	return s
 }
 
-func (s *streamed) add(t *testing.T, data string) {
+func (s *parsedStream) add(t *testing.T, data string) {
 	t.Helper()
 	var chunk struct {
 		Choices []struct {
@@ -201,7 +201,7 @@
 		t.Fatalf("chunk %s: %v", data, err)
 	}
 	if chunk.Error != nil {
-		s.errorOf = chunk.Error.Name
+		s.errorName = chunk.Error.Name
 		return
 	}
 	s.chunks++
--- a/internal/front/headers.go
+++ b/internal/front/headers.go
@@ -35,7 +35,7 @@
 	key     string
 	// priority is empty if the caller gave none.
 	priority   api.Priority
-	repeatable bool
+	idempotent bool
 }
 
 func parseHeaders(h http.Header, opts Options) (callHeaders, *refusal) {
@@ -50,13 +50,13 @@
 	if parsed.priority, refused = parsePriority(h); refused != nil {
 		return parsed, refused
 	}
-	parsed.repeatable, refused = parseIdempotent(h)
+	parsed.idempotent, refused = parseIdempotent(h)
 	return parsed, refused
 }
 
 // single returns the one value of a header. A header given twice is refused:
 // two hops that take different ones would disagree on what was asked.
-func single(h http.Header, name string) (value string, given bool, refused *refusal) {
+func singleValue(h http.Header, name string) (value string, given bool, refused *refusal) {
 	switch values := h.Values(name); len(values) {
 	case 0:
 		return "", false, nil
@@ -72,7 +72,7 @@
 }
 
 func parseTimeout(h http.Header, opts Options) (time.Duration, *refusal) {
-	text, given, refused := single(h, headerTimeout)
+	text, given, refused := singleValue(h, headerTimeout)
 	if refused != nil || !given {
 		return opts.DefaultTimeout, refused
 	}
@@ -88,7 +88,7 @@
 }
 
 func parseKey(h http.Header) (string, *refusal) {
-	key, given, refused := single(h, headerIdempotencyKey)
+	key, given, refused := singleValue(h, headerIdempotencyKey)
 	if refused != nil || !given {
 		return "", refused
 	}
@@ -102,7 +102,7 @@
 // parsePriority ignores the value of the same name that browsers send, such as
 // "u=1, i" (RFC 9218): it asks for an order among one page's downloads.
 func parsePriority(h http.Header) (api.Priority, *refusal) {
-	text, given, refused := single(h, headerPriority)
+	text, given, refused := singleValue(h, headerPriority)
 	if refused != nil || !given {
 		return "", refused
 	}
@@ -117,7 +117,7 @@
 }
 
 func parseIdempotent(h http.Header) (bool, *refusal) {
-	text, given, refused := single(h, headerIdempotent)
+	text, given, refused := singleValue(h, headerIdempotent)
 	if refused != nil || !given {
 		return true, refused
 	}
@@ -146,7 +146,7 @@
 	headerAuthorization, headerIdempotent, headerPriority, headerTimeout,
 }
 
-func forwardedRequest(h http.Header) []core.HeaderKV { return forwarded(h, notForwarded) }
+func forwardedRequestHeaders(h http.Header) []core.HeaderKV { return endToEndHeaders(h, notForwarded) }
 
 // markNonIdempotent adds the mark by which backend servers know a request that
 // may run once only.
@@ -158,11 +158,11 @@
 }
 
 // forwarded returns the end-to-end headers, by name, without the system's own.
-func forwarded(h http.Header, without []string) []core.HeaderKV {
-	perConnection := connectionNames(h.Values("Connection"))
+func endToEndHeaders(h http.Header, without []string) []core.HeaderKV {
+	perConnection := connectionOptions(h.Values("Connection"))
 	var list []core.HeaderKV
 	for _, name := range core.SortedKeys(h) {
-		if !endToEnd(name, perConnection) || slices.Contains(without, name) {
+		if !isEndToEnd(name, perConnection) || slices.Contains(without, name) {
 			continue
 		}
 		for _, value := range h[name] {
@@ -174,7 +174,7 @@
 
 // connectionNames returns the headers that a Connection header lists as
 // concerning one connection only.
-func connectionNames(values []string) []string {
+func connectionOptions(values []string) []string {
 	var names []string
 	for _, value := range values {
 		for name := range strings.SplitSeq(value, ",") {
@@ -184,19 +184,19 @@
 	return names
 }
 
-func endToEnd(name string, perConnection []string) bool {
+func isEndToEnd(name string, perConnection []string) bool {
 	return !slices.Contains(hopByHop, name) && !slices.Contains(perConnection, name) &&
-		!strings.HasPrefix(name, ownPrefix)
+		!strings.HasPrefix(name, reservedPrefix)
 }
 
 // setAnswerHeader copies a backend server's end-to-end headers. A backend
 // server can't set the system's own, such as the promise of Not-Run.
-func setAnswerHeader(into http.Header, from []core.HeaderKV) {
+func copyAnswerHeaders(into http.Header, from []core.HeaderKV) {
 	h := http.Header{}
 	for _, field := range from {
 		h.Add(field.Name, field.Value)
 	}
-	for _, field := range forwarded(h, nil) {
+	for _, field := range endToEndHeaders(h, nil) {
 		into.Add(field.Name, field.Value)
 	}
 }
--- a/internal/front/incoming.go
+++ b/internal/front/incoming.go
@@ -22,7 +22,7 @@
 	r       *http.Request
 	control *http.ResponseController
 	opts    Options
-	view    *view
+	config  *configIndex
 	id      core.RequestID
 	account string
 	arrived time.Time
@@ -34,7 +34,7 @@
 	}
 	_, _ = rand.Read(in.id[:]) // never fails: crypto/rand ends the process instead
 	w.Header().Set(headerRequestID, in.id.String())
-	in.limitTime(opts.DefaultTimeout)
+	in.setDeadlines(opts.DefaultTimeout)
 	return in
 }
 
@@ -44,13 +44,13 @@
 // writing to its full send buffer would hold the goroutine and the buffered
 // answer for good, and the request would never end at the reducer. After the
 // deadline the read or write fails, which ends the request.
-func (in *incoming) limitTime(timeout time.Duration) {
+func (in *incoming) setDeadlines(timeout time.Duration) {
 	// A writer that knows no deadlines, such as a test's recorder, can't hang.
 	_ = in.control.SetReadDeadline(in.arrived.Add(timeout))
 	_ = in.control.SetWriteDeadline(in.arrived.Add(timeout + writeGrace))
 }
 
-func (in *incoming) allow(methods ...string) *refusal {
+func (in *incoming) checkMethod(methods ...string) *refusal {
 	if slices.Contains(methods, in.r.Method) {
 		return nil
 	}
@@ -62,7 +62,7 @@
 	if !strings.EqualFold(scheme, "Bearer") {
 		return &refusal{code: code.UnknownKey, field: headerAuthorization, message: `want "Bearer KEY"`}
 	}
-	account, ok := in.view.account(strings.TrimSpace(key))
+	account, ok := in.config.accountByKey(strings.TrimSpace(key))
 	if !ok {
 		return &refusal{code: code.UnknownKey, field: headerAuthorization}
 	}
@@ -72,15 +72,15 @@
 
 // begin reads the headers and the body and returns the event of the request,
 // but for its target and what depends on it.
-func (in *incoming) begin() (core.RequestArrived, *refusal) {
+func (in *incoming) readRequest() (core.RequestArrived, *refusal) {
 	arrived := core.RequestArrived{ID: in.id, ClientAccount: in.account, Method: in.r.Method}
 	headers, refused := parseHeaders(in.r.Header, in.opts)
 	if refused != nil {
 		return arrived, refused
 	}
-	in.limitTime(headers.timeout)
+	in.setDeadlines(headers.timeout)
 	arrived.Key, arrived.Priority = headers.key, headers.priority
-	arrived.Idempotent = headers.repeatable && headers.key == ""
+	arrived.Idempotent = headers.idempotent && headers.key == ""
 	if arrived.Body, refused = in.readBody(); refused != nil {
 		return arrived, refused
 	}
@@ -113,5 +113,5 @@
 	if arrived.Priority != "" {
 		return arrived.Priority
 	}
-	return in.view.priority(arrived.Target)
+	return in.config.defaultPriority(arrived.Target)
 }
--- a/internal/front/input_test.go
+++ b/internal/front/input_test.go
@@ -89,7 +89,7 @@
 
 func TestNoConfigurationYet(t *testing.T) {
 	h := newHarness(t)
-	h.front.view.Store(nil)
+	h.front.config.Store(nil)
 	got := h.wait(h.start(h.request("GET", "/v1/models", "")))
 	if got.response.StatusCode != 503 || got.response.Header.Get("Retry-After") != "1" {
 		t.Errorf("got %d, Retry-After %q", got.response.StatusCode, got.response.Header.Get("Retry-After"))
@@ -98,7 +98,7 @@
 
 // TestArrived checks what the reducer is told, and that the caller's API key
 // and the headers of its connection end here.
-func TestArrived(t *testing.T) {
+func TestRequestArrivedEvent(t *testing.T) {
 	h := newHarness(t)
 	chat := chatBody + `,"frequency_penalty":1}`
 	isJSON := core.HeaderKV{Name: "Content-Type", Value: "application/json"}
@@ -128,7 +128,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			done := h.start(test.r)
-			got := next[core.RequestArrived](h)
+			got := nextEvent[core.RequestArrived](h)
 			h.front.Do(core.RespondEnd{ID: got.ID, Code: code.NoBackend})
 			h.wait(done)
 			test.want.ClientAccount = "helvarin"
@@ -145,7 +145,7 @@
 // TestRepeatable: a parent is charged twice for one registration, because the
 // charge was sent again after a lost connection. It was taken for repeatable
 // although the club declared its path, which the call spelled differently.
-func TestRepeatable(t *testing.T) {
+func TestIsIdempotent(t *testing.T) {
 	spec := api.ServiceSpec{NonIdempotentPaths: []string{"/charges", "/fees/"}}
 	tests := []struct {
 		method, path string
@@ -156,11 +156,11 @@
 		{"PUT", "/x/../charges", false}, {"PUT", "/x/%2e%2e/charges", false}, {"GET", "/fees", false}, {"get", "/rolls", false},
 	}
 	for _, test := range tests {
-		if got := repeatable(spec, test.method, test.path); got != test.want {
+		if got := isIdempotent(spec, test.method, test.path); got != test.want {
 			t.Errorf("%s %s: got %v, want %v", test.method, test.path, got, test.want)
 		}
 	}
-	if !repeatable(api.ServiceSpec{IdempotentMethods: []string{"POST"}}, "POST", "/") {
+	if !isIdempotent(api.ServiceSpec{IdempotentMethods: []string{"POST"}}, "POST", "/") {
 		t.Error("a declared POST is not repeatable")
 	}
 }
--- a/internal/front/models.go
+++ b/internal/front/models.go
@@ -24,11 +24,11 @@
 
 func (f *Front) serveModels(in *incoming) *refusal {
 	list := modelList{Object: "list", Data: []modelItem{}}
-	for _, name := range core.SortedKeys(in.view.Models) {
+	for _, name := range core.SortedKeys(in.config.Models) {
 		list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: "nutmeglane"})
 	}
-	for _, name := range core.SortedKeys(in.view.Adapters) {
-		base := in.view.Adapters[name].Spec.Base
+	for _, name := range core.SortedKeys(in.config.Adapters) {
+		base := in.config.Adapters[name].Spec.Base
 		list.Data = append(list.Data, modelItem{ID: base + ":" + name, Object: "model", OwnedBy: "nutmeglane", Parent: base})
 	}
 	body, err := json.Marshal(list)
--- a/internal/front/refusal.go
+++ b/internal/front/refusal.go
@@ -16,7 +16,7 @@
 	headerCode      = "Nutmeglane-Code"
 	headerRequestID = "Nutmeglane-Request-Id"
 	headerNotRun    = "Nutmeglane-Not-Run"
-	ownPrefix       = "Nutmeglane-"
+	reservedPrefix  = "Nutmeglane-"
 )
 
 // refusal is an answer that is not a success.
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -23,22 +23,22 @@
 // serveService passes a call on to a plain service.
 func (f *Front) serveService(in *incoming) *refusal {
 	name, rest := splitServicePath(in.r.URL)
-	service := in.view.Services[name]
+	service := in.config.Services[name]
 	if service == nil {
 		return &refusal{code: code.UnknownService, field: "path"}
 	}
 	if refused := checkServiceCall(in.r); refused != nil {
 		return refused
 	}
-	arrived, refused := in.begin()
+	arrived, refused := in.readRequest()
 	if refused != nil {
 		return refused
 	}
 	arrived.Target = core.Target{Service: name}
 	arrived.Path = rest
 	arrived.Priority = in.priority(&arrived)
-	arrived.Idempotent = arrived.Idempotent && repeatable(service.Spec, in.r.Method, rest)
-	arrived.Header = markNonIdempotent(forwardedRequest(in.r.Header), arrived)
+	arrived.Idempotent = arrived.Idempotent && isIdempotent(service.Spec, in.r.Method, rest)
+	arrived.Header = markNonIdempotent(forwardedRequestHeaders(in.r.Header), arrived)
 	f.relay(in, arrived, &rawAnswer{in: in})
 	return nil
 }
@@ -72,7 +72,7 @@
 // is compared as sent and as a service might read it, unescaped and cleaned:
 // "/x/../charges" must not slip past the declaration of "/charges" and run a
 // charge twice.
-func repeatable(spec api.ServiceSpec, method, rest string) bool {
+func isIdempotent(spec api.ServiceSpec, method, rest string) bool {
 	methods := spec.IdempotentMethods
 	if len(methods) == 0 {
 		methods = defaultIdempotentMethods
@@ -97,12 +97,12 @@
 
 // rawAnswer writes a plain service's answer as it comes.
 type rawAnswer struct {
-	in    *incoming
-	begun bool
-	dirty bool
+	in        *incoming
+	started   bool
+	unflushed bool
 	// left is the number of bytes that the head announced and that have not come yet,
 	// unknownLength where it announced none.
-	left int64
+	remaining int64
 }
 
 const unknownLength = -1
@@ -124,7 +124,7 @@
 // It guards against a reset of the caller's next request: one who has a whole answer uses
 // its connection again, which was closed when the agent died before it had said that the
 // answer was at its end.
-func (a *rawAnswer) complete() bool { return a.begun && a.left == 0 }
+func (a *rawAnswer) complete() bool { return a.started && a.remaining == 0 }
 
 const (
 	minFinalStatus = 200
@@ -134,37 +134,37 @@
 func (a *rawAnswer) head(head core.RespondHead) error {
 	// net/http panics on a status that is out of range, and an informational
 	// one would leave the answer without a head.
-	if head.Status < minFinalStatus || head.Status > maxStatus || a.begun {
-		return brokenAnswer{code.BackendFailed}
+	if head.Status < minFinalStatus || head.Status > maxStatus || a.started {
+		return answerError{code.BackendFailed}
 	}
-	a.begun, a.dirty = true, true
+	a.started, a.unflushed = true, true
 	header := a.in.w.Header()
-	setAnswerHeader(header, head.Header)
+	copyAnswerHeaders(header, head.Header)
 	if len(header["Content-Type"]) == 0 {
 		header["Content-Type"] = nil // not guessed by net/http
 	}
-	a.left = a.in.answerLength(head)
+	a.remaining = a.in.answerLength(head)
 	a.in.w.WriteHeader(head.Status)
 	return nil
 }
 
 func (a *rawAnswer) data(data core.RespondData) error {
-	if !a.begun {
-		return brokenAnswer{code.BackendFailed}
+	if !a.started {
+		return answerError{code.BackendFailed}
 	}
-	a.dirty = true
+	a.unflushed = true
 	n, err := a.in.w.Write(data.Payload)
-	if a.left != unknownLength {
-		a.left -= int64(n)
+	if a.remaining != unknownLength {
+		a.remaining -= int64(n)
 	}
 	return err
 }
 
 func (a *rawAnswer) flush() error {
-	if !a.dirty {
+	if !a.unflushed {
 		return nil
 	}
-	a.dirty = false
+	a.unflushed = false
 	return a.in.control.Flush()
 }
 
@@ -173,11 +173,11 @@
 // for the whole answer.
 func (a *rawAnswer) end(end core.RespondEnd) {
 	switch {
-	case a.begun && end.Code != code.OK:
+	case a.started && end.Code != code.OK:
 		panic(http.ErrAbortHandler)
-	case !a.begun && end.Code == code.OK:
+	case !a.started && end.Code == code.OK:
 		a.in.writeRefusal(&refusal{code: code.BackendFailed})
-	case !a.begun:
+	case !a.started:
 		a.in.writeRefusal(refusalOf(end))
 	}
 }
--- a/internal/front/stop_test.go
+++ b/internal/front/stop_test.go
@@ -9,13 +9,13 @@
 // TestClose: a planned stop. Requests come while readiness is off, and some
 // between the reducer's last step and the end of the listener. Callers must be
 // told to use another connection, and nobody may be left without an answer.
-func TestClose(t *testing.T) {
+func TestCloseRefusesOpenAndNewRequests(t *testing.T) {
 	h := newHarness(t)
 	h.front.SetReady(true)
 	ask := func() <-chan result { return h.start(h.request("POST", completionsPath, chatBody+"}")) }
 	h.front.SetReady(false)
 	open := ask()
-	next[core.RequestArrived](h)
+	nextEvent[core.RequestArrived](h)
 	h.front.Close()
 	for name, answer := range map[string]<-chan result{"open": open, "late": ask()} {
 		r := h.wait(answer)
--- a/internal/front/tokens.go
+++ b/internal/front/tokens.go
@@ -12,13 +12,13 @@
 // eachToken calls yield with each token of a data frame. It fails, before any
 // call, on a frame whose sizes don't add up to its payload: a token cut at the
 // wrong byte would look like a whole answer.
-func eachToken(data core.RespondData, yield func([]byte)) error {
+func forEachToken(data core.RespondData, yield func([]byte)) error {
 	if len(data.Sizes) == 0 && data.Count == 1 {
 		yield(data.Payload)
 		return nil
 	}
-	if !sizesFit(data) {
-		return brokenAnswer{code.BackendFailed}
+	if !validSizes(data) {
+		return answerError{code.BackendFailed}
 	}
 	sizes, payload := data.Sizes, data.Payload
 	for len(sizes) > 0 {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func sizesFit(data core.RespondData) bool {
+func validSizes(data core.RespondData) bool {
 	rest := uint64(len(data.Payload))
 	count := uint32(0)
 	for sizes := data.Sizes; len(sizes) > 0; count++ {
@@ -46,22 +46,22 @@
 // textJoiner turns tokens into pieces of valid text. A token may end within a
 // character; sent as it is, JSON encoding would replace both halves by U+FFFD
 // and spoil the answer. The first half is held back for the next token.
-type textJoiner struct{ held []byte }
+type textJoiner struct{ incomplete []byte }
 
 // next returns the text that is complete with this token. It is valid until
 // the next call.
 func (j *textJoiner) next(token []byte) []byte {
 	text := token
-	if len(j.held) > 0 {
-		text = append(j.held, token...)
+	if len(j.incomplete) > 0 {
+		text = append(j.incomplete, token...)
 	}
 	cut := len(text) - incompleteTail(text)
-	j.held = append([]byte(nil), text[cut:]...)
+	j.incomplete = append([]byte(nil), text[cut:]...)
 	return text[:cut]
 }
 
 // rest returns what is held back at the end of an answer.
-func (j *textJoiner) rest() []byte { return j.held }
+func (j *textJoiner) rest() []byte { return j.incomplete }
 
 // incompleteTail returns the length of a character's beginning at the end.
 func incompleteTail(text []byte) int {
