--- a/internal/front/answer_test.go
+++ b/internal/front/answer_test.go
@@ -17,7 +17,7 @@
 
 const streamBody = chatBody + `,"stream":true}`
 
-// answerWith lets a request arrive, answers it with effects and returns what
+// serveWith sends a request, answers it with effects and returns the result that
 // the caller gets.
 func (h *harness) serveWith(r *http.Request, effects func(core.RequestID) []core.Effect) result {
 	h.t.Helper()
@@ -25,14 +25,14 @@
 	id := nextEvent[core.RequestArrived](h).ID
 	for _, effect := range effects(id) {
 		if !h.front.Do(effect) {
-			h.t.Fatalf("%T was not taken", effect)
+			h.t.Fatalf("%T was not accepted", effect)
 		}
 	}
 	return h.wait(done)
 }
 
-// TestStreamedAnswer: an inspector sees "K?che" in a defect line, because the
-// two bytes of "ü" came in two tokens, each sent as text of its own.
+// Guards against replacement characters in a streamed answer. A character whose
+// bytes are split between tokens must be sent whole in one chunk.
 func TestStreamedAnswerJoinsSplitCharacters(t *testing.T) {
 	h := newHarness(t)
 	got := h.serveWith(h.request("POST", completionsPath, streamBody), func(id core.RequestID) []core.Effect {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestFailuresAreVisible: the caller's connection ends after half an answer
-// and the client shows the half as the whole. Each form of answer must end in
-// a way that a client can't take for success, with a true "not run".
+// Guards against a client that treats a truncated answer as complete. Each answer
+// format must end a failed answer in a way that differs from success, with a
+// correct "not run" value.
 func TestFailuresAreVisible(t *testing.T) {
 	h := newHarness(t)
 	begin := func(id core.RequestID) []core.Effect {
@@ -94,7 +94,7 @@
 	end := func(id core.RequestID, c code.Code) core.Effect {
 		return core.RespondEnd{ID: id, Code: c, RetryAfter: 1100 * time.Millisecond}
 	}
-	spoiled := func(id core.RequestID) core.Effect {
+	malformed := func(id core.RequestID) core.Effect {
 		return core.RespondData{ID: id, Count: 1, Payload: []byte("xy"), Sizes: []byte{1}}
 	}
 	tests := []struct {
@@ -105,17 +105,17 @@
 		notRun     string
 	}{
 		{"refused", streamBody, func(id core.RequestID) []core.Effect { return []core.Effect{end(id, code.DeadlineUnmet)} }, 503, "2001", "true"},
-		{"lost, not streamed", chatBody + "}", func(id core.RequestID) []core.Effect { return append(begin(id), end(id, code.OutcomeUnknown)) }, 502, "3001", "unknown"},
+		{"outcome unknown, not streamed", chatBody + "}", func(id core.RequestID) []core.Effect { return append(begin(id), end(id, code.OutcomeUnknown)) }, 502, "3001", "unknown"},
 		{"head only", streamBody, func(id core.RequestID) []core.Effect { return append(begin(id)[:1], end(id, code.TimedOut)) }, 504, "3003", "unknown"},
-		{"engine's error", streamBody, func(id core.RequestID) []core.Effect {
+		{"error status of engine", streamBody, func(id core.RequestID) []core.Effect {
 			return []core.Effect{core.RespondHead{ID: id, Status: 500}}
 		}, 502, "3002", "unknown"},
-		{"sizes don't fit", chatBody + "}", func(id core.RequestID) []core.Effect { return append(begin(id), spoiled(id)) }, 502, "3002", "unknown"},
-		{"over the buffer", chatBody + "}", func(id core.RequestID) []core.Effect {
+		{"sizes don't fit", chatBody + "}", func(id core.RequestID) []core.Effect { return append(begin(id), malformed(id)) }, 502, "3002", "unknown"},
+		{"over the size limit", chatBody + "}", func(id core.RequestID) []core.Effect {
 			return append(begin(id), tokens(id, strings.Repeat("x", 100)))
 		}, 502, "3004", "unknown"},
-		{"stream lost", streamBody, func(id core.RequestID) []core.Effect { return append(begin(id), end(id, code.OutcomeUnknown)) }, 200, "OutcomeUnknown", ""},
-		{"stream spoiled", streamBody, func(id core.RequestID) []core.Effect { return append(begin(id), spoiled(id)) }, 200, "BackendFailed", ""},
+		{"stream, outcome unknown", streamBody, func(id core.RequestID) []core.Effect { return append(begin(id), end(id, code.OutcomeUnknown)) }, 200, "OutcomeUnknown", ""},
+		{"stream malformed", streamBody, func(id core.RequestID) []core.Effect { return append(begin(id), malformed(id)) }, 200, "BackendFailed", ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestCutServiceAnswer: a record is shown without its last rooms. The backend
-// server was lost in mid-answer, and a body that ends in proper form looks
-// whole, so the caller's connection must break instead.
+// Guards against a truncated service answer that looks complete. When the backend
+// server fails in the middle of an answer, the caller's connection must be aborted
+// instead of ending the body properly.
 func TestCutServiceAnswer(t *testing.T) {
 	h := newHarness(t)
 	got := h.serveWith(h.request("GET", "/services/akte/rooms", ""), func(id core.RequestID) []core.Effect {
@@ -174,21 +174,21 @@
 		}
 	})
 	if got.err == nil {
-		t.Errorf("the cut answer looks whole: %q", got.body)
+		t.Errorf("the truncated answer looks complete: %q", got.body)
 	}
 	if strings.Contains(h.log.String(), "secret") {
-		t.Errorf("log shows text of an answer: %s", h.log)
+		t.Errorf("log contains text of an answer: %s", h.log)
 	}
 }
 
-// TestSlowCaller: a marshal's quick answer hangs while a tablet in a lift
-// reads nothing. Both answers come from one reducer loop, which must not wait
-// for the tablet's full connection.
+// Guards against one caller that does not read its answer and delays all others:
+// the reducer loop, which serves all answers, must not block on the slow caller's
+// full connection.
 func TestSlowCallerDoesNotDelayOthers(t *testing.T) {
 	h := newHarness(t)
-	const frames, frameBytes = 32, 1 << 20 // more than the kernel's buffers hold
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
+	const frames, frameBytes = 32, 1 << 20 // more than fits in the kernel's buffers
+	ctx, disconnect := context.WithCancel(t.Context())
+	defer disconnect()
 	opened := make(chan *http.Response, 1)
 	go func() {
 		response, err := h.server.Client().Do(h.request("GET", "/services/akte/x", "").WithContext(ctx))
@@ -214,32 +214,32 @@
 	if fast.body != "quick" {
 		t.Errorf("fast caller got %q, %v", fast.body, fast.err)
 	}
-	leave()
+	disconnect()
 	if gone := nextEvent[core.CallerGone](h); gone.ID != slow {
-		t.Errorf("%s went, want the slow caller", gone.ID)
+		t.Errorf("CallerGone for %s, want the slow caller", gone.ID)
 	}
 }
 
-// TestCallerGone: a tablet is switched off before its answer begins. The run
-// must be cancelled, and effects that still come for it must do no harm.
+// A caller disconnects before its answer begins. The run must be cancelled, and
+// later effects for the request must be ignored.
 func TestCallerGone(t *testing.T) {
 	h := newHarness(t)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	done := h.start(h.request("POST", completionsPath, streamBody).WithContext(ctx))
 	id := nextEvent[core.RequestArrived](h).ID
-	leave()
+	disconnect()
 	if got := h.wait(done); !errors.Is(got.err, context.Canceled) {
 		t.Errorf("got %v", got.err)
 	}
 	if gone := nextEvent[core.CallerGone](h); gone.ID != id {
-		t.Errorf("%s went, want %s", gone.ID, id)
+		t.Errorf("CallerGone for %s, want %s", gone.ID, id)
 	}
 	h.front.Do(tokens(id, "late"))
 	h.front.Do(core.RespondEnd{ID: id})
 }
 
-// TestOverflow: an entry runs out of memory, because frames for a caller that
-// reads nothing pile up without a bound after a fault of the flow control.
+// Guards against an entry that runs out of memory: after a fault of the flow
+// control, frames for a caller that reads nothing must not be queued without bound.
 func TestEffectQueueOverflow(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
@@ -283,13 +283,13 @@
 		t.Errorf("readyz %d then %d, healthz %d", before, after, health)
 	}
 	if h.front.Do(core.Exit{}) {
-		t.Error("Exit was taken")
+		t.Error("Exit was accepted")
 	}
 }
 
-// Guards against a reset of a caller's next request: an answer that is whole by its length
-// has no end yet when its agent dies, and the connection that the caller uses again was
-// closed for it.
+// Guards against a reset of a caller's next request. All bytes of an answer's declared
+// length were sent but its end has not arrived when the agent fails; closing the connection
+// then would affect the request that the caller has sent next.
 func TestAnswerEndsAtItsContentLength(t *testing.T) {
 	answers := map[string]struct {
 		method string
@@ -315,7 +315,7 @@
 				t.Fatalf("%d %q", got.response.StatusCode, got.body)
 			}
 			second := h.start(h.request("POST", "/services/akte/charges", "{}"))
-			h.front.Do(core.RespondEnd{ID: id, Code: code.AnswerCut}) // its agent has died
+			h.front.Do(core.RespondEnd{ID: id, Code: code.AnswerCut}) // the agent has failed
 			arrived := make(chan core.RequestID, 1)
 			go func() { arrived <- nextEvent[core.RequestArrived](h).ID }()
 			select {
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -10,17 +10,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// errOverflow ends a call whose answer came faster than the window allows.
-var errOverflow = errors.New("data frames beyond twice the stream window")
+// errOverflow ends a request whose answer arrived faster than the stream window
+// allows.
+var errOverflow = errors.New("more data frames queued than twice the stream window")
 
-// call is the queue between the reducer, which must not wait, and the
-// goroutine of one request, which may wait long for a slow caller.
+// effectQueue is the queue between the reducer, which must not block, and the
+// goroutine of one request, which may block for long on a slow caller.
 //
 // The reducer keeps the number of data frames within the stream window, so the
-// queue stays short. Should it fail to, the queue does not grow with the
-// answer: at twice the window the call overflows, and its answer is broken
-// off. Twice, because an agent that resumes an answer may cut it into smaller
-// frames than those that the window was granted for.
+// queue stays short. If that flow control fails, the queue is still bounded: at
+// twice the window it overflows and the answer is aborted. The factor of two
+// allows for an agent that resumes an answer and splits it into smaller frames
+// than those for which the window was granted.
 type effectQueue struct {
 	limit int
 	ready chan struct{}
@@ -34,31 +35,33 @@
 	return &effectQueue{limit: 2*window + nonDataEffects, ready: make(chan struct{}, 1)}
 }
 
-// answerParts is the number of effects of an answer beside data: head and end.
+// nonDataEffects is the number of effects of an answer that carry no data: head
+// and end.
 const nonDataEffects = 2
 
-func (c *effectQueue) push(effect core.Effect) {
-	c.mu.Lock()
-	if len(c.effects) >= c.limit {
-		c.overflowed = true
+func (q *effectQueue) push(effect core.Effect) {
+	q.mu.Lock()
+	if len(q.effects) >= q.limit {
+		q.overflowed = true
 	}
-	if !c.overflowed {
-		c.effects = append(c.effects, effect)
+	if !q.overflowed {
+		q.effects = append(q.effects, effect)
 	}
-	c.mu.Unlock()
+	q.mu.Unlock()
 	select {
-	case c.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take waits for effects and returns all there are.
-func (c *effectQueue) take(ctx context.Context) ([]core.Effect, error) {
+// take blocks until the queue is not empty and returns all queued effects. After
+// an overflow it returns the effects queued before it, then errOverflow.
+func (q *effectQueue) take(ctx context.Context) ([]core.Effect, error) {
 	for {
-		c.mu.Lock()
-		batch, overflow := c.effects, c.overflowed
-		c.effects = nil
-		c.mu.Unlock()
+		q.mu.Lock()
+		batch, overflow := q.effects, q.overflowed
+		q.effects = nil
+		q.mu.Unlock()
 		switch {
 		case len(batch) > 0:
 			return batch, nil
@@ -66,45 +69,48 @@
 			return nil, errOverflow
 		}
 		select {
-		case <-c.ready:
+		case <-q.ready:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// answer writes the parts of an answer to a caller in one of the forms. An
-// error of head, data or flush ends the request.
+// answerWriter writes an answer to a caller in one format. An error of head, data
+// or flush ends the request.
 type answerWriter interface {
 	head(core.RespondHead) error
 	data(core.RespondData) error
-	// flush brings all data so far on its way to the caller.
+	// flush sends all buffered data to the caller.
 	flush() error
-	// complete tells that the caller has all before the end has come.
+	// complete reports whether the caller has the complete answer although no
+	// end has arrived.
 	complete() bool
-	// end ends the answer, whole if the code is OK, else visibly broken.
+	// end completes the answer if the code is OK; otherwise it ends it in a way
+	// that the caller can recognise as a failure.
 	end(core.RespondEnd)
 }
 
-// brokenAnswer is an error for an answer that the backend server spoiled.
+// answerError reports an invalid or oversized answer of a backend server.
 type answerError struct{ code code.Code }
 
 // Error implements error.
-func (b answerError) Error() string { return "broken answer: " + b.code.String() }
+func (b answerError) Error() string { return "invalid answer: " + b.code.String() }
 
-// relay posts a request and writes its answer until either side ends it.
+// relay posts a request to the reducer and writes its answer until it ends, fails or
+// the caller disconnects.
 func (f *Front) relay(in *incoming, arrived core.RequestArrived, to answerWriter) {
-	c := newEffectQueue(f.opts.StreamWindow)
+	queue := newEffectQueue(f.opts.StreamWindow)
 	f.mu.Lock()
-	f.queues[in.id] = c
+	f.queues[in.id] = queue
 	if f.closed {
-		c.push(drainingEnd(in.id))
+		queue.push(drainingEnd(in.id))
 	}
 	f.mu.Unlock()
 	defer f.removeQueue(in.id)
 	f.post(arrived)
 	for {
-		batch, err := c.take(in.r.Context())
+		batch, err := queue.take(in.r.Context())
 		if err != nil {
 			f.abort(in, to, err)
 			return
@@ -121,7 +127,8 @@
 	delete(f.queues, id)
 }
 
-// write writes a batch and reports whether the answer has ended.
+// writeBatch writes effects and reports whether the answer has ended. It reports
+// the number of data frames written to the reducer, which extends the window.
 func (f *Front) writeBatch(in *incoming, batch []core.Effect, to answerWriter) bool {
 	frames, end, err := writeEffects(batch, to)
 	if err == nil {
@@ -136,7 +143,7 @@
 	}
 	switch {
 	case to.complete():
-		return true // the reducer's end of it finds no call any more
+		return true // the RespondEnd that follows is ignored
 	case end != nil:
 		to.end(*end)
 	}
@@ -161,8 +168,8 @@
 	return frames, nil, nil
 }
 
-// giveUp ends a request whose caller went away or whose answer is broken. The
-// reducer learns of both as CallerGone, and cancels the run.
+// abort ends a request whose caller disconnected or whose answer is invalid. It
+// posts CallerGone for both, on which the reducer cancels the run.
 func (f *Front) abort(in *incoming, to answerWriter, err error) {
 	f.post(core.CallerGone{ID: in.id})
 	result := code.AnswerCut
--- a/internal/front/completion.go
+++ b/internal/front/completion.go
@@ -16,8 +16,8 @@
 	maxTemperature  = 2
 )
 
-// Completion is the body of a chat completion, as far as the system reads it.
-// The body goes to the engine as it came, with all other fields.
+// CompletionRequest holds the fields of a chat completion's body that the system
+// reads. The engine gets the original body, with all other fields.
 type CompletionRequest struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages"`
@@ -31,11 +31,11 @@
 // Message is one message of a chat.
 type Message struct {
 	Role string `json:"role"`
-	// Content is a string, null, or an array of parts; it is not looked into.
+	// Content is a string, null, or an array of parts. Parts are not validated.
 	Content json.RawMessage `json:"content"`
 }
 
-// limit returns the number of tokens asked for, or 0.
+// tokenLimit returns the requested maximum number of tokens, or 0 if there is none.
 func (c *CompletionRequest) tokenLimit() int64 {
 	switch {
 	case c.MaxCompletionTokens != nil:
@@ -47,7 +47,7 @@
 	}
 }
 
-// prefixHash returns the hash by which engines name the cached prefix of the
+// prefixHash returns the hash by which engines identify the cached prefix of the
 // prompt.
 func (c *CompletionRequest) prefixHash() uint64 {
 	contents := make([]json.RawMessage, len(c.Messages))
@@ -68,7 +68,8 @@
 	return parsed, nil
 }
 
-// bodyRefusal names the place of a fault without quoting the body.
+// malformedBody returns a refusal that gives the location of a decoding error
+// without quoting the body.
 func malformedBody(err error) *refusal {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -85,7 +86,7 @@
 	return &refusal{code: code.BadBody, field: "body", message: "malformed JSON"}
 }
 
-// jsonKind strips the literal that encoding/json adds to "number".
+// jsonKind removes the literal value that encoding/json appends to "number".
 func jsonKind(value string) string {
 	if len(value) >= 6 && value[:6] == "number" {
 		return "number"
@@ -131,6 +132,7 @@
 	return nil
 }
 
+// isValidContent reports whether content starts like a string, an array or null.
 func isValidContent(content json.RawMessage) bool {
 	if len(content) == 0 {
 		return true
--- a/internal/front/completion_answer.go
+++ b/internal/front/completion_answer.go
@@ -8,13 +8,13 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Reasons why a completion ended.
+// Values of finish_reason.
 const (
 	finishStop   = "stop"
 	finishLength = "length"
 )
 
-// meta is what the parts of a completion's answer share.
+// completionState is the state shared by both formats of a completion's answer.
 type completionState struct {
 	in      *incoming
 	model   string
@@ -33,7 +33,7 @@
 }
 
 // head checks the engine's status. Nothing is sent to the caller before the
-// first token, so that a failure before it still gets its true status.
+// first token, so that an earlier failure can still set the HTTP status.
 func (m *completionState) head(head core.RespondHead) error {
 	if head.Status != http.StatusOK && head.Status != 0 {
 		return answerError{code.BackendFailed}
@@ -48,8 +48,8 @@
 	return finishStop
 }
 
-// appendEnvelope appends the fields that every object of an answer begins
-// with.
+// appendEnvelope appends the fields common to all JSON objects of an answer,
+// without the closing brace.
 func (m *completionState) appendEnvelope(to []byte, object string) []byte {
 	to = append(to, `{"id":"chatcmpl-`...)
 	to = append(to, m.in.id.String()...)
@@ -61,10 +61,10 @@
 	return appendJSONString(to, []byte(m.model))
 }
 
-// streamedAnswer writes server-sent events, a chunk for each token.
+// streamedAnswer writes an answer as server-sent events, one chunk per token.
 type streamedAnswer struct {
 	completionState
-	// prefix begins each chunk, up to its delta.
+	// prefix is the constant beginning of each chunk, up to the delta.
 	prefix  []byte
 	pending []byte
 	started bool
@@ -102,7 +102,8 @@
 	s.pending = append(s.pending, "},\"finish_reason\":null}]}\n\n"...)
 }
 
-// chunk appends a chunk with a ready delta; an empty finish means null.
+// appendChunk appends a chunk with an encoded delta. An empty finish is written
+// as null.
 func (s *streamedAnswer) appendChunk(delta, finish string) {
 	s.pending = append(s.pending, s.prefix...)
 	s.pending = append(s.pending, delta...)
@@ -115,7 +116,7 @@
 	s.pending = append(s.pending, "}]}\n\n"...)
 }
 
-// complete implements answer: the caller waits for the end.
+// complete implements answerWriter. A completion is complete only at its end.
 func (m *completionState) complete() bool { return false }
 
 func (s *streamedAnswer) flush() error {
@@ -130,9 +131,9 @@
 	return s.in.control.Flush()
 }
 
-// end sends [DONE] after a whole answer only. After a failure the caller sees
-// an error event and the end of the stream, so a client that waits for [DONE]
-// can't take a cut answer for a whole one.
+// end sends [DONE] after a complete answer only. After a failure it sends an
+// error event and ends the stream, so that a client that waits for [DONE] does
+// not treat a truncated answer as complete.
 func (s *streamedAnswer) end(end core.RespondEnd) {
 	if end.Code != code.OK && !s.started {
 		s.in.writeRefusal(refusalOf(end))
@@ -150,10 +151,10 @@
 		s.pending = append(s.pending, refusalOf(end).body(s.in.id)...)
 		s.pending = append(s.pending, "\n\n"...)
 	}
-	_ = s.flush() // the caller is gone: there is nobody left to tell
+	_ = s.flush() // fails only if the caller has disconnected
 }
 
-// wholeAnswer holds a completion until it is whole and writes one object.
+// bufferedAnswer buffers a completion and writes it as one JSON object.
 type bufferedAnswer struct {
 	completionState
 	text []byte
--- a/internal/front/deadline_test.go
+++ b/internal/front/deadline_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// TestSilentBody: a tablet loses its network halfway through sending a note.
-// Nothing more comes and nothing closes, and without a deadline the request
-// would wait in the entry for good.
+// Guards against requests that stay in the entry forever. A caller loses its network
+// while it sends the body: no more data arrives and the connection is not closed, so
+// only a deadline ends the request.
 func TestBodyReadDeadline(t *testing.T) {
 	h := newHarness(t)
 	conn, err := net.Dial("tcp", h.server.Listener.Addr().String())
@@ -34,7 +34,7 @@
 	}
 }
 
-// deadlineRecorder notes the deadlines that a handler sets.
+// deadlineRecorder records the deadlines that a handler sets.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	read, write time.Time
@@ -43,10 +43,10 @@
 func (d *deadlineRecorder) SetReadDeadline(at time.Time) error  { d.read = at; return nil }
 func (d *deadlineRecorder) SetWriteDeadline(at time.Time) error { d.write = at; return nil }
 
-// TestDeadlinesOfConnection: a caller waits 60 s for a cold start and is cut
-// off after 30 s. The deadline for reading its body still stood, and net/http,
-// which reads on to notice a closed connection, took its passing for that. The
-// deadline for writing must follow the caller's own time-out, too.
+// Guards against a caller with a timeout of 60 s that is cut off after 30 s during a
+// cold start. If the deadline for reading the body stays set, net/http, which keeps
+// reading to detect a closed connection, treats its expiry as a disconnect. The write
+// deadline must follow the caller's timeout, too.
 func TestConnectionDeadlines(t *testing.T) {
 	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
 	r := httptest.NewRequest("POST", completionsPath, strings.NewReader(chatBody))
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,18 +1,19 @@
-// Package front is the entry's HTTP server for callers. It authenticates and
-// parses requests, posts them to the reducer as events, and writes the answers
-// that the reducer's Respond effects carry.
+// Package front implements the entry's HTTP server for callers. It authenticates
+// and parses requests, posts them to the reducer as events, and writes the answers
+// contained in the reducer's Respond effects.
 //
 // Paths: POST /v1/chat/completions and GET /v1/models in the usual form of
 // chat APIs, /services/{service}/... for plain services, and /healthz and
-// /readyz for the platform's balancer.
+// /readyz for the platform's load balancer.
 //
-// What may be repeated after a failure (RequestArrived.Idempotent): a
-// completion has no side effects, so it may, unless the caller says
-// "Idempotent: false" or sends an Idempotency-Key, which asks that it runs at
-// most once. A service call may if its method and path are declared so and
-// neither of the two headers forbids it. "Idempotent: true" changes nothing.
+// Requests that may be retried after a failure (RequestArrived.Idempotent): a
+// completion has no side effects and may be retried unless the caller sends
+// "Idempotent: false" or an Idempotency-Key, which requests that it runs at
+// most once. A service call may be retried if its method and path are declared
+// idempotent and neither of the two headers forbids it. "Idempotent: true"
+// changes nothing.
 //
-// No text of a request, nor an API key, is logged.
+// Request contents and API keys are never logged.
 package front
 
 import (
@@ -29,23 +30,24 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Options are the limits of a Front; all are required but Logger and Count.
+// Options configures a Front. All fields except Logger and Count are required.
 type Options struct {
-	// MaxBodyBytes limits a request's body.
+	// MaxBodyBytes limits the size of a request body.
 	MaxBodyBytes int64
-	// MaxAnswerBytes limits a completion that is not streamed.
+	// MaxAnswerBytes limits the size of a completion that is not streamed.
 	MaxAnswerBytes int64
 	// DefaultTimeout applies without a Request-Timeout header.
 	DefaultTimeout time.Duration
 	// MaxTimeout is the longest Request-Timeout accepted.
 	MaxTimeout time.Duration
 	// StreamWindow is the number of data frames of one answer that the
-	// reducer lets be on their way at once.
+	// reducer allows to be in flight.
 	StreamWindow int
-	// Logger takes the HTTP server's own errors. Default: discarded.
+	// Logger receives the HTTP server's own errors. Default: discarded.
 	Logger *slog.Logger
-	// Count takes the Count effects of the metrics in Counters: answers that
-	// the reducer never learns of. It must not block. Default: discarded.
+	// Count receives the Count effects of the metrics in Counters, which cover
+	// requests refused before they reach the reducer. It must not block.
+	// Default: discarded.
 	Count func(core.Effect)
 }
 
@@ -61,11 +63,11 @@
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
 	maxHeaderBytes    = 64 << 10
-	// writeGrace is how long after a request's deadline its last bytes may
-	// still be written.
+	// writeGrace is how long after a request's deadline the answer may still
+	// be written.
 	writeGrace = 5 * time.Second
-	// notReadyRetry is when to come back to an entry that has no
-	// configuration yet.
+	// notReadyRetry is the Retry-After of an entry that has no configuration
+	// yet or is draining.
 	notReadyRetry = time.Second
 )
 
@@ -74,7 +76,7 @@
 	opts  Options
 	post  func(core.Event)
 	ready atomic.Bool
-	// draining is set while readiness is off after it was on.
+	// draining is set when readiness changes from true to false.
 	draining atomic.Bool
 	config   atomic.Pointer[configIndex]
 
@@ -83,7 +85,7 @@
 	queues map[core.RequestID]*effectQueue
 }
 
-// New returns a Front that gives events to post. post may block; it is never
+// New returns a Front that passes events to post. post may block; it is never
 // called from within Do.
 func New(opts Options, post func(core.Event)) *Front {
 	if opts.Logger == nil {
@@ -95,8 +97,8 @@
 	return &Front{opts: opts, post: post, queues: map[core.RequestID]*effectQueue{}}
 }
 
-// Server returns an HTTP server for f with the timeouts that guard it against
-// callers that send or read nothing.
+// Server returns an HTTP server for f, with timeouts for callers that send
+// headers too slowly or leave connections idle.
 func (f *Front) Server() *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -107,21 +109,21 @@
 	}
 }
 
-// SetSnapshot puts a configuration in force for authentication and defaults.
+// SetSnapshot sets the configuration used for authentication, names and defaults.
 func (f *Front) SetSnapshot(s *api.Snapshot) { f.config.Store(newConfigIndex(s)) }
 
-// Close ends every call, and all to come, with Draining. It is called when the
-// reducer is done.
+// Close ends every open request, and any later one, with Draining. It is called
+// when the reducer has exited.
 //
-// It guards against a request that arrives between the reducer's last step and
-// the end of the listener: nobody would ever answer it. The reducer exits with
-// no request in flight, so what is open here was never sent on.
+// Without it, a request that arrives between the reducer's last step and the
+// closing of the listener would never be answered. The reducer exits with no
+// request in flight, so requests still open here were never sent to an agent.
 func (f *Front) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = true
-	for id, c := range f.queues {
-		c.push(drainingEnd(id))
+	for id, queue := range f.queues {
+		queue.push(drainingEnd(id))
 	}
 }
 
@@ -129,17 +131,17 @@
 	return core.RespondEnd{ID: id, Code: code.Draining, RetryAfter: notReadyRetry}
 }
 
-// SetReady sets the answer of /readyz. It is false at first. Once it turned
-// from true to false, answers close their connections: a caller that keeps one
-// would go on sending here, whatever the balancer does.
+// SetReady sets the result of /readyz, initially false. After a change from true
+// to false, answers close their connections: a caller that keeps a connection
+// would continue to send requests here, regardless of the load balancer.
 func (f *Front) SetReady(ready bool) {
 	was := f.ready.Swap(ready)
 	f.draining.Store(was && !ready)
 }
 
-// Do carries out a RespondHead, RespondData or RespondEnd without blocking,
-// and reports whether the effect was one of these. An effect for a request
-// that has ended is ignored.
+// Do executes a RespondHead, RespondData or RespondEnd without blocking, and
+// reports whether the effect was one of these. An effect for a request that has
+// ended is ignored.
 func (f *Front) Do(effect core.Effect) bool {
 	var id core.RequestID
 	switch e := effect.(type) {
@@ -153,16 +155,16 @@
 		return false
 	}
 	f.mu.Lock()
-	c := f.queues[id]
+	queue := f.queues[id]
 	f.mu.Unlock()
-	if c != nil {
-		c.push(effect)
+	if queue != nil {
+		queue.push(effect)
 	}
 	return true
 }
 
 // ServeHTTP implements http.Handler. It does not use http.ServeMux, which
-// would redirect service paths that it finds unclean.
+// redirects service paths that are not in canonical form.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/healthz":
@@ -190,7 +192,8 @@
 	writeText(w, http.StatusOK, "ready\n")
 }
 
-// serveCall returns a refusal if the request never reached the reducer.
+// serveCall serves an API request. It returns a refusal if the request was not
+// posted to the reducer.
 func (f *Front) serveCall(in *incoming) *refusal {
 	handler, refused := f.route(in)
 	if refused != nil {
@@ -206,6 +209,7 @@
 	return handler(in)
 }
 
+// route returns the handler for the request's path.
 func (f *Front) route(in *incoming) (func(*incoming) *refusal, *refusal) {
 	path := in.r.URL.Path
 	switch {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// harness is a Front behind a real server; the test plays the reducer.
+// harness is a Front behind an HTTP server; the test acts as the reducer.
 type harness struct {
 	t      *testing.T
 	front  *Front
@@ -110,7 +110,7 @@
 	err      error
 }
 
-// start sends a request and returns where its result will come.
+// start sends a request and returns the channel for its result.
 func (h *harness) start(r *http.Request) <-chan result {
 	done := make(chan result, 1)
 	go func() {
@@ -137,7 +137,7 @@
 	}
 }
 
-// next returns the next event of a type, skipping others.
+// nextEvent returns the next event of type E and skips others.
 func nextEvent[E core.Event](h *harness) E {
 	h.t.Helper()
 	for {
--- a/internal/front/headers.go
+++ b/internal/front/headers.go
@@ -15,7 +15,7 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// Headers of requests.
+// Request headers that the system reads.
 const (
 	headerAuthorization  = "Authorization"
 	headerIdempotencyKey = "Idempotency-Key"
@@ -29,11 +29,12 @@
 	maxKeyBytes = 255
 )
 
-// callHeaders are the system's own headers of a request.
+// callHeaders holds the parsed values of the request headers that the system
+// reads, apart from Authorization.
 type callHeaders struct {
 	timeout time.Duration
 	key     string
-	// priority is empty if the caller gave none.
+	// priority is empty if the caller set none.
 	priority   api.Priority
 	idempotent bool
 }
@@ -54,8 +55,8 @@
 	return parsed, refused
 }
 
-// single returns the one value of a header. A header given twice is refused:
-// two hops that take different ones would disagree on what was asked.
+// singleValue returns the value of a header that must not be repeated: two hops
+// could pick different values and treat the request differently.
 func singleValue(h http.Header, name string) (value string, given bool, refused *refusal) {
 	switch values := h.Values(name); len(values) {
 	case 0:
@@ -76,7 +77,7 @@
 	if refused != nil || !given {
 		return opts.DefaultTimeout, refused
 	}
-	// ParseFloat alone would take "1e3", "Inf" and "NaN".
+	// ParseFloat alone would accept "1e3", "Inf" and "NaN".
 	decimal := text != "" && strings.Trim(text, "0123456789.") == ""
 	seconds, err := strconv.ParseFloat(text, 64)
 	low, high := minTimeout.Seconds(), opts.MaxTimeout.Seconds()
@@ -99,8 +100,8 @@
 	return key, nil
 }
 
-// parsePriority ignores the value of the same name that browsers send, such as
-// "u=1, i" (RFC 9218): it asks for an order among one page's downloads.
+// parsePriority ignores values in the format of RFC 9218, such as "u=1, i", which
+// browsers send in the same header to order the downloads of one page.
 func parsePriority(h http.Header) (api.Priority, *refusal) {
 	text, given, refused := singleValue(h, headerPriority)
 	if refused != nil || !given {
@@ -131,16 +132,16 @@
 	}
 }
 
-// hopByHop headers concern one connection only (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// notForwarded are request headers that end here: those that the next hop's
-// client sets itself, and the system's own. The API key is the caller's secret
-// towards this system and no business of a backend server. Idempotency-Key is
-// forwarded, for services that know it.
+// notForwarded lists the request headers that are not forwarded: those that the
+// next hop's client sets itself, and those that the system reads. The API key is
+// a secret between the caller and this system and must not reach a backend
+// server. Idempotency-Key is forwarded, for services that support it.
 var notForwarded = []string{
 	"Content-Length", "Expect", "Host",
 	headerAuthorization, headerIdempotent, headerPriority, headerTimeout,
@@ -148,8 +149,8 @@
 
 func forwardedRequestHeaders(h http.Header) []core.HeaderKV { return endToEndHeaders(h, notForwarded) }
 
-// markNonIdempotent adds the mark by which backend servers know a request that
-// may run once only.
+// markNonIdempotent adds the header that tells backend servers that a request
+// must run at most once.
 func markNonIdempotent(header []core.HeaderKV, arrived core.RequestArrived) []core.HeaderKV {
 	if arrived.Idempotent {
 		return header
@@ -157,7 +158,8 @@
 	return append(header, core.HeaderKV{Name: engineapi.HeaderNonIdempotent, Value: "true"})
 }
 
-// forwarded returns the end-to-end headers, by name, without the system's own.
+// endToEndHeaders returns the end-to-end headers in the order of their names. It
+// omits the system's own headers and those in without.
 func endToEndHeaders(h http.Header, without []string) []core.HeaderKV {
 	perConnection := connectionOptions(h.Values("Connection"))
 	var list []core.HeaderKV
@@ -172,8 +174,8 @@
 	return list
 }
 
-// connectionNames returns the headers that a Connection header lists as
-// concerning one connection only.
+// connectionOptions returns the names of the headers that a Connection header
+// lists as applying to a single connection.
 func connectionOptions(values []string) []string {
 	var names []string
 	for _, value := range values {
@@ -189,8 +191,9 @@
 		!strings.HasPrefix(name, reservedPrefix)
 }
 
-// setAnswerHeader copies a backend server's end-to-end headers. A backend
-// server can't set the system's own, such as the promise of Not-Run.
+// copyAnswerHeaders copies a backend server's end-to-end headers. It omits the
+// system's own, so that a backend server can't set, for example,
+// Nutmeglane-Not-Run.
 func copyAnswerHeaders(into http.Header, from []core.HeaderKV) {
 	h := http.Header{}
 	for _, field := range from {
--- a/internal/front/incoming.go
+++ b/internal/front/incoming.go
@@ -16,7 +16,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// incoming is one HTTP request on its way through the front.
+// incoming is one HTTP request that is being served.
 type incoming struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -32,20 +32,20 @@
 	in := &incoming{
 		w: w, r: r, control: http.NewResponseController(w), opts: opts, arrived: time.Now(),
 	}
-	_, _ = rand.Read(in.id[:]) // never fails: crypto/rand ends the process instead
+	_, _ = rand.Read(in.id[:]) // never returns an error: crypto/rand ends the process instead
 	w.Header().Set(headerRequestID, in.id.String())
 	in.setDeadlines(opts.DefaultTimeout)
 	return in
 }
 
-// limitTime bounds the reading of the body and the writing of the answer.
+// setDeadlines limits the time for reading the body and for writing the answer.
 //
-// It guards against a caller whose connection goes silent: reading its body or
-// writing to its full send buffer would hold the goroutine and the buffered
-// answer for good, and the request would never end at the reducer. After the
-// deadline the read or write fails, which ends the request.
+// Without deadlines, a caller whose connection stops carrying data would block
+// the goroutine forever, while it reads the body or writes to a full send buffer.
+// The buffered answer would stay in memory, and the request would never end in
+// the reducer. After the deadline the read or write fails, which ends the request.
 func (in *incoming) setDeadlines(timeout time.Duration) {
-	// A writer that knows no deadlines, such as a test's recorder, can't hang.
+	// A writer without support for deadlines, such as a test recorder, can't block.
 	_ = in.control.SetReadDeadline(in.arrived.Add(timeout))
 	_ = in.control.SetWriteDeadline(in.arrived.Add(timeout + writeGrace))
 }
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// begin reads the headers and the body and returns the event of the request,
-// but for its target and what depends on it.
+// readRequest reads the headers and the body and returns the event of the request,
+// without the target and the fields that depend on it.
 func (in *incoming) readRequest() (core.RequestArrived, *refusal) {
 	arrived := core.RequestArrived{ID: in.id, ClientAccount: in.account, Method: in.r.Method}
 	headers, refused := parseHeaders(in.r.Header, in.opts)
@@ -84,7 +84,7 @@
 	if arrived.Body, refused = in.readBody(); refused != nil {
 		return arrived, refused
 	}
-	// The caller's time runs while it sends the body.
+	// The time that the caller takes to send the body counts against its timeout.
 	arrived.Timeout = headers.timeout - time.Since(in.arrived)
 	if arrived.Timeout <= 0 {
 		return arrived, &refusal{code: code.DeadlinePassed}
@@ -103,8 +103,8 @@
 	case err != nil:
 		return nil, &refusal{code: code.BadBody, field: "body"}
 	}
-	// Without the deadline: net/http goes on reading in the background, to
-	// notice that the caller went away, and would take it for that.
+	// Clears the deadline: net/http keeps reading in the background to detect
+	// that the caller disconnects, and would treat an expired deadline as that.
 	_ = in.control.SetReadDeadline(time.Time{})
 	return body, nil
 }
--- a/internal/front/input_test.go
+++ b/internal/front/input_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestArrived checks what the reducer is told, and that the caller's API key
-// and the headers of its connection end here.
+// Checks the event that the reducer gets, and that the caller's API key and
+// hop-by-hop headers are not forwarded.
 func TestRequestArrivedEvent(t *testing.T) {
 	h := newHarness(t)
 	chat := chatBody + `,"frequency_penalty":1}`
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestRepeatable: a parent is charged twice for one registration, because the
-// charge was sent again after a lost connection. It was taken for repeatable
-// although the club declared its path, which the call spelled differently.
+// Guards against a charge that runs twice: it was retried after a lost connection,
+// because the request spelled the path differently from the service's declaration of
+// non-idempotent paths.
 func TestIsIdempotent(t *testing.T) {
 	spec := api.ServiceSpec{NonIdempotentPaths: []string{"/charges", "/fees/"}}
 	tests := []struct {
@@ -157,11 +157,11 @@
 	}
 	for _, test := range tests {
 		if got := isIdempotent(spec, test.method, test.path); got != test.want {
-			t.Errorf("%s %s: got %v, want %v", test.method, test.path, got, test.want)
+			t.Errorf("%s %s: idempotent %v, want %v", test.method, test.path, got, test.want)
 		}
 	}
 	if !isIdempotent(api.ServiceSpec{IdempotentMethods: []string{"POST"}}, "POST", "/") {
-		t.Error("a declared POST is not repeatable")
+		t.Error("a POST declared as idempotent is not idempotent")
 	}
 }
 
--- a/internal/front/models.go
+++ b/internal/front/models.go
@@ -18,7 +18,7 @@
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
-	// Parent is the base model of an adapter.
+	// Parent is the base model if the item is an adapter.
 	Parent string `json:"parent,omitempty"`
 }
 
--- a/internal/front/refusal.go
+++ b/internal/front/refusal.go
@@ -11,7 +11,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Headers of answers.
+// Response headers of the system.
 const (
 	headerCode      = "Nutmeglane-Code"
 	headerRequestID = "Nutmeglane-Request-Id"
@@ -19,15 +19,15 @@
 	reservedPrefix  = "Nutmeglane-"
 )
 
-// refusal is an answer that is not a success.
+// refusal is an error answer.
 type refusal struct {
 	code code.Code
-	// field names the header or body field at fault; may be empty.
+	// field names the invalid header or body field; may be empty.
 	field string
-	// message explains; the code's meaning if empty.
+	// message describes the error. If empty, the code's meaning is sent.
 	message    string
 	retryAfter time.Duration
-	// allow lists the methods of the path, for BadMethod.
+	// allow lists the allowed methods of the path, for BadMethod.
 	allow string
 }
 
@@ -45,7 +45,8 @@
 	Name    string    `json:"name"`
 	Message string    `json:"message"`
 	Field   string    `json:"field,omitempty"`
-	// NotRun is a promise when true; false means that the outcome is unknown.
+	// NotRun is true if the request certainly did not run; false means that the
+	// outcome is unknown.
 	NotRun    bool   `json:"not_run"`
 	RequestID string `json:"request_id"`
 }
@@ -68,7 +69,8 @@
 	return body
 }
 
-// writeRefusal writes a whole error answer. No head may have been sent.
+// writeRefusal writes a complete error answer. It must not be called after the
+// response head was sent.
 func (in *incoming) writeRefusal(rf *refusal) {
 	header := in.w.Header()
 	notRun := "unknown"
@@ -89,13 +91,13 @@
 	in.writeJSON(rf.code.HTTPStatus(), rf.body(in.id))
 }
 
-// retrySeconds rounds up, because a caller that comes back early is refused
-// again.
+// retrySeconds formats a duration for Retry-After. It rounds up, because a caller
+// that retries too early is refused again.
 func retrySeconds(d time.Duration) string {
 	return strconv.Itoa(max(1, int(math.Ceil(d.Seconds()))))
 }
 
-// writeJSON states the length, so that a caller can tell a cut answer.
+// writeJSON sets Content-Length, so that a caller can detect a truncated answer.
 func (in *incoming) writeJSON(status int, body []byte) {
 	header := in.w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/front/service.go
+++ b/internal/front/service.go
@@ -20,7 +20,7 @@
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete,
 }
 
-// serveService passes a call on to a plain service.
+// serveService forwards a request to a plain service.
 func (f *Front) serveService(in *incoming) *refusal {
 	name, rest := splitServicePath(in.r.URL)
 	service := in.config.Services[name]
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// checkServiceCall refuses what can't be passed on. CONNECT asks for a tunnel,
-// and TRACE would show a caller what the system adds. In HTTP/1.0 an answer of
-// unknown length ends by closing the connection, so that a cut one would look
-// whole.
+// checkServiceCall refuses requests that can't be forwarded. CONNECT requests a
+// tunnel, and TRACE would reveal the headers that the system adds. In HTTP/1.0
+// the end of an answer of unknown length is the end of the connection, so that a
+// truncated answer would look complete.
 func checkServiceCall(r *http.Request) *refusal {
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
 		return &refusal{code: code.BadMethod, allow: "GET, HEAD, OPTIONS, POST, PUT, PATCH, DELETE"}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// splitServicePath returns the service and the path and query to call it
-// with, escaped as the caller sent them.
+// splitServicePath returns the service's name, and the path and query of the
+// request to it, escaped as the caller sent them.
 func splitServicePath(u *url.URL) (name, rest string) {
 	name, rest, _ = strings.Cut(strings.TrimPrefix(u.EscapedPath(), servicesPath), "/")
 	rest = "/" + rest
@@ -68,10 +68,10 @@
 	return name, rest
 }
 
-// repeatable tells whether a call may be sent again after a failure. The path
-// is compared as sent and as a service might read it, unescaped and cleaned:
-// "/x/../charges" must not slip past the declaration of "/charges" and run a
-// charge twice.
+// isIdempotent reports whether a request may be retried after a failure, by the
+// service's declaration. The path is compared as sent and as a service might
+// interpret it, unescaped and cleaned: otherwise "/x/../charges" would not match
+// a declared "/charges", and a retry could run the charge twice.
 func isIdempotent(spec api.ServiceSpec, method, rest string) bool {
 	methods := spec.IdempotentMethods
 	if len(methods) == 0 {
@@ -95,19 +95,20 @@
 	return true
 }
 
-// rawAnswer writes a plain service's answer as it comes.
+// rawAnswer writes a plain service's answer unchanged.
 type rawAnswer struct {
 	in        *incoming
 	started   bool
 	unflushed bool
-	// left is the number of bytes that the head announced and that have not come yet,
-	// unknownLength where it announced none.
+	// remaining is the number of body bytes that are still expected by the head's
+	// Content-Length, or unknownLength if there is none.
 	remaining int64
 }
 
 const unknownLength = -1
 
-// answerLength is the length of the body that a head announces to the caller.
+// answerLength returns the number of body bytes that the caller expects after a
+// head, or unknownLength.
 func (in *incoming) answerLength(head core.RespondHead) int64 {
 	if in.r.Method == http.MethodHead || head.Status == http.StatusNoContent || head.Status == http.StatusNotModified {
 		return 0
@@ -119,11 +120,11 @@
 	return length
 }
 
-// complete tells that the caller has the whole answer, by its length, whatever comes.
+// complete reports whether all bytes of the answer's declared length were written.
 //
-// It guards against a reset of the caller's next request: one who has a whole answer uses
-// its connection again, which was closed when the agent died before it had said that the
-// answer was at its end.
+// A caller that has the complete answer reuses its connection. If the agent fails
+// before it reports the end of the answer, closing the connection at that time
+// would reset the caller's next request.
 func (a *rawAnswer) complete() bool { return a.started && a.remaining == 0 }
 
 const (
@@ -133,7 +134,7 @@
 
 func (a *rawAnswer) head(head core.RespondHead) error {
 	// net/http panics on a status that is out of range, and an informational
-	// one would leave the answer without a head.
+	// status would leave the answer without a final one.
 	if head.Status < minFinalStatus || head.Status > maxStatus || a.started {
 		return answerError{code.BackendFailed}
 	}
@@ -141,7 +142,7 @@
 	header := a.in.w.Header()
 	copyAnswerHeaders(header, head.Header)
 	if len(header["Content-Type"]) == 0 {
-		header["Content-Type"] = nil // not guessed by net/http
+		header["Content-Type"] = nil // prevents detection by net/http
 	}
 	a.remaining = a.in.answerLength(head)
 	a.in.w.WriteHeader(head.Status)
@@ -168,9 +169,9 @@
 	return a.in.control.Flush()
 }
 
-// end aborts the connection when a begun answer fails. Returning instead would
-// let net/http end the body properly, and the caller would take what it has
-// for the whole answer.
+// end aborts the connection if the answer fails after its head was sent. If it
+// returned, net/http would end the body properly, and the caller would treat the
+// truncated answer as complete.
 func (a *rawAnswer) end(end core.RespondEnd) {
 	switch {
 	case a.started && end.Code != code.OK:
--- a/internal/front/tokens.go
+++ b/internal/front/tokens.go
@@ -9,9 +9,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// eachToken calls yield with each token of a data frame. It fails, before any
-// call, on a frame whose sizes don't add up to its payload: a token cut at the
-// wrong byte would look like a whole answer.
+// forEachToken calls yield with each token of a data frame. It fails before the
+// first call if the frame's sizes don't add up to its payload: tokens split at
+// wrong offsets would otherwise pass as a valid answer.
 func forEachToken(data core.RespondData, yield func([]byte)) error {
 	if len(data.Sizes) == 0 && data.Count == 1 {
 		yield(data.Payload)
@@ -29,6 +29,8 @@
 	return nil
 }
 
+// validSizes reports whether the frame's sizes match its payload and its token
+// count.
 func validSizes(data core.RespondData) bool {
 	rest := uint64(len(data.Payload))
 	count := uint32(0)
@@ -43,13 +45,13 @@
 	return rest == 0 && count == data.Count
 }
 
-// textJoiner turns tokens into pieces of valid text. A token may end within a
-// character; sent as it is, JSON encoding would replace both halves by U+FFFD
-// and spoil the answer. The first half is held back for the next token.
+// textJoiner converts tokens to valid UTF-8 text. A token may end within a
+// character, whose parts JSON encoding would each replace by U+FFFD. Therefore an
+// incomplete character is kept and prepended to the next token.
 type textJoiner struct{ incomplete []byte }
 
-// next returns the text that is complete with this token. It is valid until
-// the next call.
+// next returns the text up to the last complete character. It is valid until the
+// next call.
 func (j *textJoiner) next(token []byte) []byte {
 	text := token
 	if len(j.incomplete) > 0 {
@@ -60,10 +62,11 @@
 	return text[:cut]
 }
 
-// rest returns what is held back at the end of an answer.
+// rest returns the incomplete character at the end of an answer.
 func (j *textJoiner) rest() []byte { return j.incomplete }
 
-// incompleteTail returns the length of a character's beginning at the end.
+// incompleteTail returns the number of bytes of an incomplete character at the
+// end of text.
 func incompleteTail(text []byte) int {
 	for n := 1; n < utf8.UTFMax && n <= len(text); n++ {
 		tail := text[len(text)-n:]
@@ -78,7 +81,7 @@
 }
 
 // appendJSONString appends text as a JSON string. Most tokens are plain ASCII
-// and need no escapes, which saves the encoder's allocations.
+// without escapes; copying them avoids the encoder's allocations.
 func appendJSONString(to, text []byte) []byte {
 	for _, b := range text {
 		if b < ' ' || b > '~' || b == '"' || b == '\\' {
