--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -69,9 +69,9 @@
 	}))
 
 	extra := func() map[string]any { return map[string]any{"connections": node.Dump()} }
-	p.serve(peersListener, &http.Server{Handler: node.Handler(), ReadHeaderTimeout: drainTime}, peerCerts)
+	p.serve(peersListener, &http.Server{Handler: node.Handler(), ReadHeaderTimeout: shutdownTimeout}, peerCerts)
 	p.serve(operators, &http.Server{
-		Handler: p.operatorsHandler(s.Operators.Token, extra, nil), ReadHeaderTimeout: drainTime,
+		Handler: p.operatorsHandler(s.Operators.Token, extra, nil), ReadHeaderTimeout: shutdownTimeout,
 	}, operatorCerts)
 	// The first step lets the reducer begin: it takes an inventory.
 	p.loop.Post(core.Tick{})
--- a/internal/daemon/callerconns.go
+++ b/internal/daemon/callerconns.go
@@ -20,7 +20,7 @@
 	// closeInterval is the pause between two looks for idle connections while the
 	// process stops: a tenth of the time in which a caller on a new connection can
 	// have its answer.
-	closeInterval = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	// firstRequestWait is how long a new connection counts as one whose request is on
 	// its way.
 	firstRequestWait = time.Second
@@ -53,18 +53,18 @@
 func newCallerConns() *callerConns { return &callerConns{open: map[*callerConn]struct{}{}} }
 
 // listen makes the connections of the listener known. It is called once.
-func (c *callerConns) listen(l net.Listener) net.Listener {
+func (c *callerConns) wrap(l net.Listener) net.Listener {
 	c.listener = l
 	return callerListener{l, c}
 }
 
 // state is the server's ConnState hook.
-func (c *callerConns) state(conn net.Conn, state http.ConnState) {
+func (c *callerConns) state(conn net.Conn, onStateChange http.ConnState) {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
-	if caller, ok := conn.(*callerConn); ok && state == http.StateIdle {
-		caller.answered()
+	if caller, ok := conn.(*callerConn); ok && onStateChange == http.StateIdle {
+		caller.setIdle()
 	}
 }
 
@@ -73,8 +73,8 @@
 func (c *callerConns) drain(ctx context.Context) error {
 	c.draining.Store(true)
 	if c.listener != nil {
-		for c.waiting() && ctx.Err() == nil {
-			pause(ctx, closeInterval)
+		for c.hasPendingConn() && ctx.Err() == nil {
+			sleep(ctx, drainPollInterval)
 		}
 		_ = c.listener.Close() // nobody waits for what it would say
 	}
@@ -82,13 +82,13 @@
 		if err := ctx.Err(); err != nil {
 			return errors.Wrapf(err, "%d connections with requests", c.closeIdle())
 		}
-		pause(ctx, closeInterval)
+		sleep(ctx, drainPollInterval)
 	}
 	return nil
 }
 
 // waiting tells whether a connection waits in the kernel to be accepted.
-func (c *callerConns) waiting() bool {
+func (c *callerConns) hasPendingConn() bool {
 	withFD, ok := c.listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -124,7 +124,7 @@
 	return left
 }
 
-func (c *callerConns) forget(conn *callerConn) {
+func (c *callerConns) remove(conn *callerConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, conn)
@@ -168,7 +168,7 @@
 
 	mu sync.Mutex
 	// asked is set once a byte was read, idle while none was since the last answer.
-	asked, idle bool
+	everRead, idle bool
 }
 
 // Read implements net.Conn. A byte is taken from the kernel and the connection
@@ -180,7 +180,7 @@
 	var n int
 	var failed error
 	err := c.raw.Read(func(fd uintptr) bool {
-		n, failed = c.take(int(fd), p)
+		n, failed = c.readFD(int(fd), p)
 		return failed != syscall.EAGAIN
 	})
 	switch {
@@ -194,7 +194,7 @@
 	return n, nil
 }
 
-func (c *callerConn) take(fd int, p []byte) (int, error) {
+func (c *callerConn) readFD(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -203,7 +203,7 @@
 			continue
 		}
 		if n > 0 {
-			c.asked, c.idle = true, false
+			c.everRead, c.idle = true, false
 		}
 		return max(0, n), err
 	}
@@ -216,7 +216,7 @@
 // kept as its head said, and the caller's next stream would be cut at the stop
 // limit. So while connections are drained, one closes with its answer. What its
 // caller may have sent by then was not read, which tells it that it did not run.
-func (c *callerConn) answered() {
+func (c *callerConn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = true
@@ -230,8 +230,8 @@
 func (c *callerConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	isNew := !c.asked && time.Since(c.opened) < firstRequestWait
-	if !c.idle || isNew || c.unread() {
+	isNew := !c.everRead && time.Since(c.opened) < firstRequestWait
+	if !c.idle || isNew || c.hasUnreadData() {
 		return false
 	}
 	_ = c.Close() // it is closed either way
@@ -239,7 +239,7 @@
 }
 
 // unread tells whether bytes wait in the kernel.
-func (c *callerConn) unread() bool {
+func (c *callerConn) hasUnreadData() bool {
 	waiting := false
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -261,6 +261,6 @@
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.conns.forget(c)
+	c.conns.remove(c)
 	return c.Conn.Close()
 }
--- a/internal/daemon/callerconns_test.go
+++ b/internal/daemon/callerconns_test.go
@@ -42,17 +42,17 @@
 
 // watched are the events of the server's only connection: a read of bytes, and the
 // end of an answer.
-type watched struct{ reads, idle chan struct{} }
+type connEvents struct{ reads, idle chan struct{} }
 
 // callerServer serves on loopback through callerConns.
-func callerServer(t *testing.T) (*callerConns, watched, net.Conn, *bufio.Reader) {
+func callerServer(t *testing.T) (*callerConns, connEvents, net.Conn, *bufio.Reader) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns := newCallerConns()
-	events := watched{make(chan struct{}, 16), make(chan struct{}, 16)}
+	events := connEvents{make(chan struct{}, 16), make(chan struct{}, 16)}
 	server := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("whole")) }),
 		ConnState: func(conn net.Conn, state http.ConnState) {
@@ -62,7 +62,7 @@
 			}
 		},
 	}
-	go func() { _ = server.Serve(watchedListener{conns.listen(listener), events.reads}) }()
+	go func() { _ = server.Serve(watchedListener{conns.wrap(listener), events.reads}) }()
 	t.Cleanup(func() { _ = server.Close() })
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-func readWhole(t *testing.T, reader *bufio.Reader) {
+func readAnswer(t *testing.T, reader *bufio.Reader) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -93,11 +93,11 @@
 // parsed it yet when idle connections are closed: the caller saw its connection
 // close and could not know whether the request ran. With http.Server.Shutdown in
 // place of closeIdle this test fails.
-func TestRequestBeingReadIsNotCutByStop(t *testing.T) {
+func TestStopKeepsConnWithPartlyReadRequest(t *testing.T) {
 	conns, events, conn, reader := callerServer(t)
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-events.reads
-	readWhole(t, reader)
+	readAnswer(t, reader)
 	<-events.idle
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost")
 	<-events.reads
@@ -105,12 +105,12 @@
 		t.Fatalf("%d connections left, wanted the one with a request", left)
 	}
 	writeText(t, conn, ": a\r\n\r\n")
-	readWhole(t, reader)
+	readAnswer(t, reader)
 }
 
 // A request has arrived in the kernel when its router stops, and no goroutine
 // has had the processor to read it. Its connection is not idle.
-func TestUnreadRequestIsNotCutByStop(t *testing.T) {
+func TestStopKeepsConnWithUnreadRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,13 +123,13 @@
 	}
 	defer func() { _ = caller.Close() }()
 	// Accepted, and read by nobody.
-	if _, err := conns.listen(listener).Accept(); err != nil {
+	if _, err := conns.wrap(listener).Accept(); err != nil {
 		t.Fatal(err)
 	}
 	writeText(t, caller, "GET / HTTP/1.1\r\n")
 	for conn := range conns.open {
 		// Waits until bytes are there, and reads none.
-		if err := conn.raw.Read(func(uintptr) bool { return conn.unread() }); err != nil {
+		if err := conn.raw.Read(func(uintptr) bool { return conn.hasUnreadData() }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -139,10 +139,10 @@
 }
 
 // Idle connections end at a planned stop, so that the process can.
-func TestDrainEndsIdleConnections(t *testing.T) {
+func TestDrainClosesIdleConnections(t *testing.T) {
 	conns, events, conn, reader := callerServer(t)
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	readWhole(t, reader)
+	readAnswer(t, reader)
 	<-events.idle
 	if err := conns.drain(context.Background()); err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 // keep the connection. It ends while connections are drained, and the caller sends
 // its next stream on the same connection, three seconds before the stop limit: it
 // was taken, and cut. The connection must end with the first answer.
-func TestNoRequestIsTakenAfterTheLastAnswerOfADrain(t *testing.T) {
+func TestDrainClosesConnAfterItsAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 		began <- struct{}{}
 		<-end
 	})}
-	go func() { _ = server.Serve(conns.listen(listener)) }()
+	go func() { _ = server.Serve(conns.wrap(listener)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -219,14 +219,14 @@
 	server := &http.Server{ConnState: conns.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("whole"))
 	})}
-	gated := gatedListener{conns.listen(listener), gate}
+	gated := gatedListener{conns.wrap(listener), gate}
 	go func() { _ = server.Serve(gated) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
 // drainBegun begins to drain and returns once that is under way.
-func drainBegun(t *testing.T, conns *callerConns) {
+func startDrain(t *testing.T, conns *callerConns) {
 	t.Helper()
 	drained := make(chan error, 1)
 	go func() { drained <- conns.drain(context.Background()) }()
@@ -242,7 +242,7 @@
 
 // Guards against resets of callers whose connections wait in the kernel's queue when
 // the listener closes.
-func TestDrainTakesConnectionsThatWait(t *testing.T) {
+func TestDrainAcceptsPendingConnections(t *testing.T) {
 	conns, gate := newCallerConns(), make(chan struct{})
 	address := serveGated(t, conns, gate)
 	var callers []net.Conn
@@ -255,16 +255,16 @@
 		writeText(t, caller, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		callers = append(callers, caller)
 	}
-	drainBegun(t, conns)
+	startDrain(t, conns)
 	close(gate)
 	for _, caller := range callers {
-		readWhole(t, bufio.NewReader(caller))
+		readAnswer(t, bufio.NewReader(caller))
 	}
 }
 
 // Guards against a reset of a caller who has just connected and whose first request is
 // on its way.
-func TestDrainWaitsForTheFirstRequest(t *testing.T) {
+func TestDrainWaitsForFirstRequest(t *testing.T) {
 	conns, gate := newCallerConns(), make(chan struct{})
 	close(gate)
 	caller, err := net.Dial("tcp", serveGated(t, conns, gate))
@@ -280,14 +280,14 @@
 	if left := conns.closeIdle(); left != 1 {
 		t.Fatalf("%d connections left, wanted the new one", left)
 	}
-	drainBegun(t, conns)
+	startDrain(t, conns)
 	writeText(t, caller, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	readWhole(t, bufio.NewReader(caller))
+	readAnswer(t, bufio.NewReader(caller))
 }
 
 // Guards against a caller whose body is too large and who sees a reset in place of the
 // refusal: http.Server has to find a connection that can be closed by half.
-func TestCallersConnectionClosesByHalf(t *testing.T) {
+func TestCallerConnHalfClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -298,7 +298,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = caller.Close() }()
-	accepted, err := newCallerConns().listen(listener).Accept()
+	accepted, err := newCallerConns().wrap(listener).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/change_bench_test.go
+++ b/internal/daemon/change_bench_test.go
@@ -16,13 +16,13 @@
 )
 
 // benchPeer is the connection between the writer and the measured agent.
-const benchPeer = "peer"
+const benchPeerID = "peer"
 
 // benchDaemon is a role's reducer with the configuration part of its shell.
 type benchDaemon struct {
 	b       *testing.B
 	machine *machine.Machine
-	shell   benchShell
+	applier benchConfigApplier
 	kv      map[string]core.KVValue
 	sent    []core.Message
 	done    *core.ApplyDone
@@ -38,9 +38,9 @@
 	}
 	d := &benchDaemon{b: b, machine: m, kv: kv}
 	if role == settings.RoleEntry {
-		d.shell.operator = operator.New(operator.Options{History: 64}, func(core.Event) {})
+		d.applier.operator = operator.New(operator.Options{History: 64}, func(core.Event) {})
 	}
-	d.step(core.PeerUp{Peer: benchPeer, Incarnation: 2})
+	d.step(core.PeerUp{Peer: benchPeerID, Incarnation: 2})
 	return d
 }
 
@@ -55,7 +55,7 @@
 			case core.KVCas:
 				events = append(events, d.cas(e))
 			case core.ConfigApplied:
-				events = append(events, d.shell.apply(d.b, e))
+				events = append(events, d.applier.apply(d.b, e))
 			case core.ApplyDone:
 				d.done = &e
 			case core.Send:
@@ -88,15 +88,15 @@
 
 // relay has the daemon fetch the newest revision as from a peer, whose own
 // work is left out.
-func (d *benchDaemon) relay() {
+func (d *benchDaemon) fetchFromPeer() {
 	d.sent = nil
-	d.step(core.Received{From: benchPeer, Message: d.head()})
+	d.step(core.Received{From: benchPeerID, Message: d.head()})
 	for len(d.sent) > 0 {
 		want, _ := d.sent[0].(core.ConfigWant)
 		d.sent = d.sent[1:]
 		for _, hash := range want.Chunks {
 			chunk := core.ConfigChunk{Hash: hash, Data: d.kv[core.KeyChunkPrefix+hash].Value}
-			d.step(core.Received{From: benchPeer, Message: chunk})
+			d.step(core.Received{From: benchPeerID, Message: chunk})
 		}
 	}
 }
@@ -129,10 +129,10 @@
 	steps := map[string]func(i int){
 		"taker": func(i int) { writer.declare(fleet.Adapter(i%900, i%130, int64(2+i))) },
 		"entry": func(int) { entry.step(kv[core.KeyConfigHead]) },
-		"agent": func(int) { agent.relay() },
+		"agent": func(int) { agent.fetchFromPeer() },
 	}
 	entry.step(kv[core.KeyConfigHead])
-	agent.relay()
+	agent.fetchFromPeer()
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.StopTimer()
@@ -145,7 +145,7 @@
 			b.StopTimer()
 		}
 	}
-	if got, want := agent.shell.revision, writer.head().Revision; got != want {
+	if got, want := agent.applier.revision, writer.head().Revision; got != want {
 		b.Fatalf("agent has revision %d in force, wanted %d", got, want)
 	}
 }
--- a/internal/daemon/change_shell_test.go
+++ b/internal/daemon/change_shell_test.go
@@ -9,13 +9,13 @@
 )
 
 // benchShell puts configurations in force as the daemon does.
-type benchShell struct {
+type benchConfigApplier struct {
 	keeper   config.Keeper
 	operator *operator.Handler
 	revision int64
 }
 
-func (s *benchShell) apply(b *testing.B, applied core.ConfigApplied) core.Event {
+func (s *benchConfigApplier) apply(b *testing.B, applied core.ConfigApplied) core.Event {
 	inForce, err := s.keeper.Apply(applied)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -8,7 +8,7 @@
 // in force by tell and reports back to the reducer. It was checked when it was
 // accepted; one that fails here was written by a newer release, and the
 // configuration before it stays in force.
-func applyConfig(p *process, effect core.Effect, tell func(core.ConfigInForce)) bool {
+func applyConfig(p *process, effect core.Effect, activate func(core.ConfigInForce)) bool {
 	applied, ok := effect.(core.ConfigApplied)
 	if !ok {
 		return false
@@ -19,7 +19,7 @@
 		p.logger.Error("configuration refused", "revision", applied.Revision, "error", err.Error())
 		return true
 	}
-	tell(inForce)
+	activate(inForce)
 	p.logger.Info("configuration in force", "revision", applied.Revision)
 	p.loop.Post(inForce)
 	return true
--- a/internal/daemon/configpass.go
+++ b/internal/daemon/configpass.go
@@ -54,7 +54,7 @@
 }
 
 // takeConfig puts a configuration in force that another router has read.
-func (p *routerProcess) takeConfig(passed core.ConfigPassed) {
+func (p *routerProcess) applyPassedConfig(passed core.ConfigPassed) {
 	config, err := fleet.DecodeConfig(passed.Data)
 	if err != nil || config.Version != passed.Version {
 		p.log.Error("passed configuration can't be read and is left out", "version", passed.Version, slog.Any("error", err))
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -28,7 +28,7 @@
 	countBadConfig core.Counter = "config_refused_total"
 )
 
-var shellCounters = append([]core.CounterDef{
+var processCounters = append([]core.CounterDef{
 	{Name: countKVCalls, Help: "Calls to the KV service, or of a router to the platform's store, by operation and result code.", Labels: []string{"op", "code"}},
 	{Name: countHostReads, Help: "Reads of the platform's host list by result.", Labels: []string{"result"}},
 	{Name: countBadConfig, Help: "Configuration documents that could not be put in force."},
@@ -89,7 +89,7 @@
 		StreamWindow: s.Limits.StreamWindow, Logger: e.logger,
 		Count: func(effect core.Effect) { e.metrics.Do(effect) },
 	}, e.loop.Post)
-	e.drained = e.front.Close
+	e.onDrained = e.front.Close
 	view := func() status.View { return status.Collect(s.Host, e.loop.Dump()) }
 	e.operator = operator.New(operator.Options{View: view}, e.loop.Post)
 	wireOptions := wire.Options{
@@ -101,14 +101,14 @@
 	}
 	node := wire.New(wireOptions, e.loop.Post)
 	e.closers = append(e.closers, closeNode(node))
-	e.loop.Add(e.front, e.operator, node, executorFunc(e.apply), executorFunc(e.tellFront))
+	e.loop.Add(e.front, e.operator, node, executorFunc(e.apply), executorFunc(e.setFrontReady))
 
 	extra := func() map[string]any { return map[string]any{"connections": node.Dump()} }
 	handler := e.operatorsHandler(s.Operators.Token, extra, func(mux *http.ServeMux) {
 		mux.Handle("/apis/", e.operator)
 		mux.Handle("GET /{$}", page.Handler(e.operator.Snapshot, view))
 	})
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: drainTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: shutdownTimeout}
 	server.RegisterOnShutdown(e.operator.Close)
 	e.serveCallers(callers, e.front.Server(), certificates.callers)
 	e.serve(operators, server, certificates.operators)
@@ -155,7 +155,7 @@
 	})
 }
 
-func (e *Entry) tellFront(effect core.Effect) bool {
+func (e *Entry) setFrontReady(effect core.Effect) bool {
 	ready, ok := effect.(core.Ready)
 	if ok {
 		e.front.SetReady(ready.Ready)
@@ -184,7 +184,7 @@
 // closeNode ends a node's connections in an orderly way.
 func closeNode(node *wire.Node) func() {
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = node.Close(ctx)
 	}
--- a/internal/daemon/gauges.go
+++ b/internal/daemon/gauges.go
@@ -42,7 +42,7 @@
 }
 
 // of makes a gauge that reads one part's state.
-func of[T any](part, name, help string, read func(T) float64) gauge {
+func newGauge[T any](part, name, help string, read func(T) float64) gauge {
 	return gauge{
 		desc: prometheus.NewDesc("nutmeglane_"+name, help, nil, nil),
 		read: func(dump map[string]any) (float64, bool) {
@@ -55,7 +55,7 @@
 	}
 }
 
-func truth(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -63,9 +63,9 @@
 }
 
 var allGauges = []gauge{
-	of("config", "config_revision", "Configuration revision in force.",
+	newGauge("config", "config_revision", "Configuration revision in force.",
 		func(s config.Dump) float64 { return float64(s.InForce) }),
-	of("config", "config_peers_behind", "Connected processes with an older revision in force, or none known.",
+	newGauge("config", "config_peers_behind", "Connected processes with an older revision in force, or none known.",
 		func(s config.Dump) float64 {
 			behind := 0
 			for _, revision := range s.Peers {
@@ -75,41 +75,41 @@
 			}
 			return float64(behind)
 		}),
-	of("entry", "entry_requests_open", "Callers' requests at this entry.",
+	newGauge("entry", "entry_requests_open", "Callers' requests at this entry.",
 		func(s entry.State) float64 { return float64(s.Requests) }),
-	of("entry", "entry_requests_waiting", "Callers' requests at this entry that no agent has yet.",
+	newGauge("entry", "entry_requests_waiting", "Callers' requests at this entry that no agent has yet.",
 		func(s entry.State) float64 { return float64(s.Waiting) }),
-	of("entry", "entry_agents_usable", "Agents that this entry sends new work to.",
+	newGauge("entry", "entry_agents_usable", "Agents that this entry sends new work to.",
 		func(s entry.State) float64 {
 			usable := 0
 			for _, a := range s.Agents {
-				usable += int(truth(a.Usable))
+				usable += int(boolToFloat(a.Usable))
 			}
 			return float64(usable)
 		}),
-	of("steward", "kv_reachable", "1 while calls to the KV service work.",
-		func(s steward.State) float64 { return truth(s.KVUp) }),
-	of("steward", "steward_in_office", "1 while this entry is the steward.",
-		func(s steward.State) float64 { return truth(s.InOffice) }),
-	of("steward", "slots_owned", "Slots with an owner that may load them, by the tables as watched here.",
+	newGauge("steward", "kv_reachable", "1 while calls to the KV service work.",
+		func(s steward.State) float64 { return boolToFloat(s.KVUp) }),
+	newGauge("steward", "steward_in_office", "1 while this entry is the steward.",
+		func(s steward.State) float64 { return boolToFloat(s.InOffice) }),
+	newGauge("steward", "slots_owned", "Slots with an owner that may load them, by the tables as watched here.",
 		func(s steward.State) float64 { return countSlots(s.Slots, core.SlotOwned) }),
-	of("steward", "slots_releasing", "Slots whose owner is asked to release them, by the tables as watched here.",
+	newGauge("steward", "slots_releasing", "Slots whose owner is asked to release them, by the tables as watched here.",
 		func(s steward.State) float64 { return countSlots(s.Slots, core.SlotReleasing) }),
-	of("agent", "agent_tenure_remaining_seconds", "Time until this agent has to give up what it loaded; below 0 it loads nothing.",
+	newGauge("agent", "agent_tenure_remaining_seconds", "Time until this agent has to give up what it loaded; below 0 it loads nothing.",
 		func(s agent.State) float64 { return s.TenureUntil.Sub(s.Now).Seconds() }),
-	of("agent", "agent_memory_total_mib", "Accelerator memory of the host, in MiB.",
+	newGauge("agent", "agent_memory_total_mib", "Accelerator memory of the host, in MiB.",
 		func(s agent.State) float64 { return float64(s.TotalMiB) }),
-	of("agent", "agent_memory_reserved_mib", "Accelerator memory reserved for loaded and loading checkpoints, in MiB.",
+	newGauge("agent", "agent_memory_reserved_mib", "Accelerator memory reserved for loaded and loading checkpoints, in MiB.",
 		func(s agent.State) float64 { return float64(s.ReservedMiB) }),
-	of("agent", "agent_requests_running", "Requests that run at the backend server.",
+	newGauge("agent", "agent_requests_running", "Requests that run at the backend server.",
 		func(s agent.State) float64 { return float64(s.Running) }),
-	of("agent", "agent_requests_queued", "Requests that wait at the agent.",
+	newGauge("agent", "agent_requests_queued", "Requests that wait at the agent.",
 		func(s agent.State) float64 { return float64(s.Queued) }),
-	of("agent", "agent_checkpoints_loaded", "Models and adapters loaded in the engine.",
+	newGauge("agent", "agent_checkpoints_loaded", "Models and adapters loaded in the engine.",
 		func(s agent.State) float64 {
 			loaded := 0
 			for _, item := range s.Items {
-				loaded += int(truth(item.State == "loaded"))
+				loaded += int(boolToFloat(item.State == "loaded"))
 			}
 			return float64(loaded)
 		}),
@@ -118,7 +118,7 @@
 func countSlots(slots []core.Slot, state core.SlotState) float64 {
 	count := 0
 	for _, slot := range slots {
-		count += int(truth(slot.State == state))
+		count += int(boolToFloat(slot.State == state))
 	}
 	return float64(count)
 }
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -37,31 +37,31 @@
 
 // RunLoader runs a loader until ctx ends.
 func RunLoader(ctx context.Context, file string, out io.Writer) error {
-	readAt := modified(file)
+	readAt := modTime(file)
 	s, err := settings.LoadLoader(file)
 	if err != nil {
 		return err
 	}
-	node, err := newNodeProcess(&s.Node, out, slices.Concat(loader.Counters, shellCounters))
+	node, err := newNodeProcess(&s.Node, out, slices.Concat(loader.Counters, processCounters))
 	if err != nil {
 		return err
 	}
-	node.readAt = readAt
+	node.settingsModTime = readAt
 	p := &loaderProcess{
 		nodeProcess: node, settings: s,
 		engine: platform.NewEngineClient(s.Engine.String(), s.Host, engineTimeout),
 		loader: loader.New(loader.Options{Host: core.HostID(s.Address), IdleAfter: s.IdleAfter}),
 	}
 	err = p.run(ctx, file)
-	p.stopped(err)
+	p.logStopped(err)
 	return err
 }
 
 func (p *loaderProcess) run(ctx context.Context, file string) error {
 	p.log.Info("loader starting", "engine", p.settings.Engine.String(), "peers", p.settings.Peers.String())
 	p.timer = time.AfterFunc(time.Hour, func() { p.step(loader.Tick{}) })
-	p.links = p.nodeProcess.links(p.fromPeer)
-	if err := p.serve(p.settings.Peers, &http.Server{Handler: p.links.Handler(), ReadHeaderTimeout: drainTime}); err != nil {
+	p.links = p.nodeProcess.newLinks(p.handlePeerEvent)
+	if err := p.serve(p.settings.Peers, &http.Server{Handler: p.links.Handler(), ReadHeaderTimeout: shutdownTimeout}); err != nil {
 		return err
 	}
 	if err := p.serveOperators(p.dump, func() bool { return true }, nil); err != nil {
@@ -91,12 +91,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, effect := range p.loader.Step(clock.Now(), event) {
-		p.do(effect)
+		p.execute(effect)
 	}
 }
 
 // do carries out an effect. It holds p.mu and never blocks.
-func (p *loaderProcess) do(effect loader.Effect) {
+func (p *loaderProcess) execute(effect loader.Effect) {
 	switch e := effect.(type) {
 	case loader.ReadReport:
 		p.calls.Go(func() {
@@ -132,7 +132,7 @@
 }
 
 // fromPeer feeds what routers say to the reducer.
-func (p *loaderProcess) fromPeer(event core.Event) {
+func (p *loaderProcess) handlePeerEvent(event core.Event) {
 	switch e := event.(type) {
 	case core.PeerUp:
 		p.step(loader.RouterUp{Router: e.Peer})
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -25,23 +25,23 @@
 	// collectAt is the growth of the heap, in percent, that starts a garbage
 	// collection. Half of Go's default: these processes are priced by their
 	// memory, and allocate little.
-	collectAt = 50
+	gcPercent = 50
 	// memoryShare of the limit is where the collector works harder; the rest
 	// is for what it does not count.
-	memoryShare = 0.8
+	memoryLimitRatio = 0.8
 	// peerPing is the time between pings. Where something is waited for, words come more
 	// often and show earlier that a connection is silent.
-	peerPing = 5 * time.Second
+	peerPingInterval = 5 * time.Second
 	// peerPingRate bounds the pings per second of a process, each some 20 us: with more
 	// than 500 peers the time between pings grows.
-	peerPingRate = 100
+	maxPeerPingRate = 100
 	// peerDial bounds a dial of a loader.
-	peerDial = time.Second
+	peerDialTimeout = time.Second
 	// settingsPoll is the time between two looks at the settings file, which
 	// may change without a signal.
-	settingsPoll = 2 * time.Second
+	settingsPollInterval = 2 * time.Second
 	// logLimit bounds writing the last log lines.
-	logLimit = 200 * time.Millisecond
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 // nodeProcess is what routers and loaders have in common.
@@ -53,13 +53,13 @@
 	metrics       *telemetry.Metrics
 	failed        chan error
 	// readAt is when the settings file that was read had been changed.
-	readAt time.Time
+	settingsModTime time.Time
 }
 
 func newNodeProcess(s *settings.Node, out io.Writer, counters []core.CounterDef) (*nodeProcess, error) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.MemoryMB * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(s.MemoryMB * memoryLimitRatio * (1 << 20)))
 	}
 	p := &nodeProcess{settings: s, ring: telemetry.NewRing(out), failed: make(chan error, 4)}
 	var err error
@@ -103,16 +103,16 @@
 	if mount != nil {
 		mount(mux)
 	}
-	return p.serve(p.settings.Operators, &http.Server{Handler: sameOrigin(mux), ReadHeaderTimeout: drainTime})
+	return p.serve(p.settings.Operators, &http.Server{Handler: sameOrigin(mux), ReadHeaderTimeout: shutdownTimeout})
 }
 
 // links returns the node's connections to peers. Events reach post from one
 // goroutine, in order.
-func (p *nodeProcess) links(post func(core.Event)) *wire.Node {
-	put := pump(post)
+func (p *nodeProcess) newLinks(post func(core.Event)) *wire.Node {
+	put := queueEvents(post)
 	return wire.New(wire.Options{
 		Host: core.HostID(p.settings.Address), Incarnation: core.Incarnation(randomUint64()),
-		PingInterval: peerPing, PingRate: peerPingRate, DialTimeout: peerDial,
+		PingInterval: peerPingInterval, PingRate: maxPeerPingRate, DialTimeout: peerDialTimeout,
 		Metrics: newWireMetrics(p.metrics.Registry()), Log: p.log,
 	}, put)
 }
@@ -124,7 +124,7 @@
 // post, which holds the reducer's lock, sends messages through the node. With a
 // bounded queue a process that was frozen for some seconds would wake up to more
 // events than it holds, and each side would wait for the other for good.
-func pump(post func(core.Event)) func(core.Event) {
+func queueEvents(post func(core.Event)) func(core.Event) {
 	queue := runtime.NewQueue()
 	go func() {
 		var batch []core.Event
@@ -141,20 +141,20 @@
 
 // watchSettings calls reload after SIGHUP and after a change of the file.
 func (p *nodeProcess) watchSettings(ctx context.Context, file string, reload func() error) {
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	last := p.readAt
+	last := p.settingsModTime
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup.C():
 		case <-ticker.C:
-			if modified(file).Equal(last) {
+			if modTime(file).Equal(last) {
 				continue
 			}
 		}
-		last = modified(file)
+		last = modTime(file)
 		if err := reload(); err != nil {
 			p.log.Error("settings not reloaded; the old ones stay", "file", file, "error", err.Error())
 			continue
@@ -163,7 +163,7 @@
 	}
 }
 
-func modified(file string) time.Time {
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{} // a file that is gone is read, and reported, on reload
@@ -172,11 +172,11 @@
 }
 
 // stopped logs the end of the process and writes the last lines.
-func (p *nodeProcess) stopped(cause error) {
+func (p *nodeProcess) logStopped(cause error) {
 	if cause != nil {
 		p.log.Error("stopped", "error", cause.Error())
 	} else {
 		p.log.Info("stopped")
 	}
-	p.ring.Close(logLimit)
+	p.ring.Close(logFlushTimeout)
 }
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -16,10 +16,10 @@
 const (
 	// notePause is the pause after a call that failed: a store that is away is not
 	// asked for more than readers do.
-	notePause = time.Second
+	noteRetryDelay = time.Second
 	// maxNotes bounds what waits for a store that is away, at up to some KB each. The
 	// oldest yield.
-	maxNotes = 256
+	maxPendingNotes = 256
 )
 
 // noteStore is the part of the platform's store that keeps notes.
@@ -29,32 +29,32 @@
 
 // noteKeeper writes a router's notes to the platform's store, one after the other, and
 // tries each until it is written.
-type noteKeeper struct {
+type noteWriter struct {
 	store noteStore
 	log   *slog.Logger
 	wake  chan struct{}
 
 	mu sync.Mutex
 	// waiting are oldest first, one a name.
-	waiting []router.Publish
+	pending []router.Publish
 }
 
-func newNoteKeeper(store noteStore, log *slog.Logger) *noteKeeper {
-	return &noteKeeper{store: store, log: log, wake: make(chan struct{}, 1)}
+func newNoteWriter(store noteStore, log *slog.Logger) *noteWriter {
+	return &noteWriter{store: store, log: log, wake: make(chan struct{}, 1)}
 }
 
 // put takes a note. It never blocks.
-func (k *noteKeeper) put(note router.Publish) {
+func (k *noteWriter) put(note router.Publish) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if i := k.find(note.Name); i >= 0 {
-		k.waiting[i] = note
+	if i := k.indexOf(note.Name); i >= 0 {
+		k.pending[i] = note
 		return
 	}
-	k.waiting = append(k.waiting, note)
-	if len(k.waiting) > maxNotes {
-		k.log.Error("note dropped, as too many wait for the store", "note", k.waiting[0].Name)
-		k.waiting = k.waiting[1:]
+	k.pending = append(k.pending, note)
+	if len(k.pending) > maxPendingNotes {
+		k.log.Error("note dropped, as too many wait for the store", "note", k.pending[0].Name)
+		k.pending = k.pending[1:]
 	}
 	select {
 	case k.wake <- struct{}{}:
@@ -63,12 +63,12 @@
 }
 
 // find returns the place of a note that waits, -1 without one.
-func (k *noteKeeper) find(name string) int {
-	return slices.IndexFunc(k.waiting, func(other router.Publish) bool { return other.Name == name })
+func (k *noteWriter) indexOf(name string) int {
+	return slices.IndexFunc(k.pending, func(other router.Publish) bool { return other.Name == name })
 }
 
 // run writes until ctx ends.
-func (k *noteKeeper) run(ctx context.Context) {
+func (k *noteWriter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		note, ok := k.take()
 		if !ok {
@@ -80,35 +80,35 @@
 		}
 		if err := k.write(ctx, note); err != nil {
 			k.log.Warn("note not written", "note", note.Name, "error", err.Error())
-			k.putBack(note)
-			pause(ctx, notePause)
+			k.requeue(note)
+			sleep(ctx, noteRetryDelay)
 			continue
 		}
 		k.log.Info("note written", "note", note.Name)
 	}
 }
 
-func (k *noteKeeper) take() (note router.Publish, ok bool) {
+func (k *noteWriter) take() (note router.Publish, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.waiting) == 0 {
+	if len(k.pending) == 0 {
 		return router.Publish{}, false
 	}
-	note = k.waiting[0]
-	k.waiting = k.waiting[1:]
+	note = k.pending[0]
+	k.pending = k.pending[1:]
 	return note, true
 }
 
 // putBack lets a note be tried again, unless a newer one of its name has come.
-func (k *noteKeeper) putBack(note router.Publish) {
+func (k *noteWriter) requeue(note router.Publish) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.find(note.Name) < 0 {
-		k.waiting = slices.Insert(k.waiting, 0, note)
+	if k.indexOf(note.Name) < 0 {
+		k.pending = slices.Insert(k.pending, 0, note)
 	}
 }
 
-func (k *noteKeeper) write(ctx context.Context, note router.Publish) error {
+func (k *noteWriter) write(ctx context.Context, note router.Publish) error {
 	value, err := core.EncodeMessage(note.News)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 	return k.store.KeepNote(ctx, note.Name, value, poison.Keep)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/daemon/notes_test.go
+++ b/internal/daemon/notes_test.go
@@ -39,9 +39,9 @@
 
 // The store is away when a note is to be kept. It is kept once the store is back, and
 // of two under one name the newer one only.
-func TestNotesWaitForTheStore(t *testing.T) {
+func TestNotesAreRetriedAndReplaced(t *testing.T) {
 	store := &flakyStore{fails: 1, kept: make(chan keptNote)}
-	k := newNoteKeeper(store, slog.New(slog.DiscardHandler))
+	k := newNoteWriter(store, slog.New(slog.DiscardHandler))
 	k.put(router.Publish{Name: "a", News: cleared(1)})
 	k.put(router.Publish{Name: "b", News: cleared(2)})
 	k.put(router.Publish{Name: "a", News: cleared(3)})
@@ -58,18 +58,18 @@
 }
 
 // The store stays away while servers end by the hundred. What waits is bounded.
-func TestNotesThatWaitAreBounded(t *testing.T) {
-	k := newNoteKeeper(&flakyStore{}, slog.New(slog.DiscardHandler))
-	for i := range 2 * maxNotes {
+func TestPendingNotesAreBounded(t *testing.T) {
+	k := newNoteWriter(&flakyStore{}, slog.New(slog.DiscardHandler))
+	for i := range 2 * maxPendingNotes {
 		k.put(router.Publish{Name: fmt.Sprint(i)})
 	}
-	if len(k.waiting) != maxNotes || k.waiting[0].Name != fmt.Sprint(maxNotes) {
-		t.Errorf("%d wait, the first is %s", len(k.waiting), k.waiting[0].Name)
+	if len(k.pending) != maxPendingNotes || k.pending[0].Name != fmt.Sprint(maxPendingNotes) {
+		t.Errorf("%d wait, the first is %s", len(k.pending), k.pending[0].Name)
 	}
 }
 
 // Another program keeps something under the same prefix. It tells nothing.
-func TestForeignNotesTellNothing(t *testing.T) {
+func TestForeignNotesAreIgnored(t *testing.T) {
 	note, err := core.EncodeMessage(core.Counts{Running: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/operating_test.go
+++ b/internal/daemon/operating_test.go
@@ -28,9 +28,9 @@
 }
 
 // An alarm on a metric that was renamed never rings.
-func TestAlarmsNameMetrics(t *testing.T) {
+func TestOperationsPageNamesExistingMetrics(t *testing.T) {
 	known := map[string]bool{"nutmeglane_metric_updates_dropped_total": true}
-	for _, def := range slices.Concat(Counters(), shellCounters, router.Counters, loader.Counters) {
+	for _, def := range slices.Concat(Counters(), processCounters, router.Counters, loader.Counters) {
 		known["nutmeglane_"+string(def.Name)] = true
 	}
 	registry := prometheus.NewRegistry()
@@ -58,7 +58,7 @@
 }
 
 // TestSettingsAreListed compares the page's table with the settings' types.
-func TestSettingsAreListed(t *testing.T) {
+func TestOperationsPageListsAllSettings(t *testing.T) {
 	fields := map[string]bool{}
 	for _, s := range []any{settings.Entry{}, settings.Agent{}, settings.Router{}, settings.Loader{}} {
 		listFields(fields, "", reflect.TypeOf(s))
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -21,7 +21,7 @@
 // operatorsHandler serves the operators' address of both roles. Everything but
 // openPaths is behind the token.
 func (p *process) operatorsHandler(token string, extra func() map[string]any, mount func(*http.ServeMux)) http.Handler {
-	telemetry := p.metrics.Handler(p.state(extra), p.ready.Load)
+	telemetry := p.metrics.Handler(p.dumpState(extra), p.ready.Load)
 	guarded := http.NewServeMux()
 	guarded.Handle("GET /debug/state", telemetry)
 	guarded.Handle("POST "+operator.DrainPath, http.HandlerFunc(p.serveDrain))
@@ -49,12 +49,12 @@
 
 // drain is an operator's order to stop gracefully, which may come more than
 // once.
-type drain struct {
+type drainSignal struct {
 	once      sync.Once
 	requested chan struct{}
 }
 
-func (d *drain) request() { d.once.Do(func() { close(d.requested) }) }
+func (d *drainSignal) request() { d.once.Do(func() { close(d.requested) }) }
 
 // serveDrain begins the same graceful shutdown as SIGTERM does.
 func (p *process) serveDrain(w http.ResponseWriter, _ *http.Request) {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -26,10 +26,10 @@
 )
 
 // drainTime bounds closing listeners and connections once the reducer is done.
-const drainTime = 3 * time.Second
+const shutdownTimeout = 3 * time.Second
 
 // recordMode keeps a recorded run, which holds request text, to its owner.
-const recordMode = 0o600
+const recordFileMode = 0o600
 
 // process is what both roles have: the loop, metrics, logger and listeners.
 type process struct {
@@ -46,12 +46,12 @@
 	callers     *http.Server
 	callerConns *callerConns
 	keeper      config.Keeper
-	drain       drain
+	drain       drainSignal
 	// failed receives the error of a listener that ended early.
 	failed chan error
 	// drained, if not nil, runs when the reducer is done, before the
 	// listeners close.
-	drained func()
+	onDrained func()
 	// closers run in reverse order when the process ends.
 	closers []func()
 }
@@ -59,7 +59,7 @@
 func newProcess(s *settings.Common, blueprint Blueprint, logger *slog.Logger) (*process, error) {
 	p := &process{blueprint: blueprint, logger: logger, failed: make(chan error, 4)}
 	p.drain.requested = make(chan struct{})
-	metrics, err := telemetry.NewMetrics(logger, append(Counters(), shellCounters...))
+	metrics, err := telemetry.NewMetrics(logger, append(Counters(), processCounters...))
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 	if file == "" {
 		return nil
 	}
-	f, err := os.OpenFile(file, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, recordMode)
+	f, err := os.OpenFile(file, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, recordFileMode)
 	if err != nil {
 		return errors.Wrap(err, "open record")
 	}
@@ -130,7 +130,7 @@
 func (p *process) serveCallers(l net.Listener, server *http.Server, source *certs.Source) {
 	p.callers, p.callerConns = server, newCallerConns()
 	server.ConnState = p.callerConns.state
-	p.serveOn(p.callerConns.listen(l), server, source)
+	p.serveOn(p.callerConns.wrap(l), server, source)
 }
 
 func (p *process) serveOn(l net.Listener, server *http.Server, source *certs.Source) {
@@ -157,7 +157,7 @@
 	defer cancel()
 	done := make(chan error, 1)
 	go func() { done <- p.loop.Run(loopCtx) }()
-	go p.logHangups(loopCtx)
+	go p.warnOnHangup(loopCtx)
 	defer p.close()
 	// What the process says last is taken as its last word: nothing may begin after it.
 	halt := func(err error) error {
@@ -178,13 +178,13 @@
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(stop.Limit + drainTime):
-		return halt(errors.Newf("graceful shutdown did not end within %v", stop.Limit+drainTime))
+	case <-time.After(stop.Limit + shutdownTimeout):
+		return halt(errors.Newf("graceful shutdown did not end within %v", stop.Limit+shutdownTimeout))
 	}
 }
 
 // logHangups tells operators that SIGHUP changes nothing here.
-func (p *process) logHangups(ctx context.Context) {
+func (p *process) warnOnHangup(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -196,10 +196,10 @@
 }
 
 func (p *process) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if p.drained != nil {
-		p.drained()
+	if p.onDrained != nil {
+		p.onDrained()
 	}
 	p.closeCallers(ctx)
 	for _, server := range p.servers {
@@ -225,7 +225,7 @@
 }
 
 // state is the answer to GET /debug/state.
-func (p *process) state(extra func() map[string]any) func() any {
+func (p *process) dumpState(extra func() map[string]any) func() any {
 	return func() any {
 		dump := p.loop.Dump()
 		if dump == nil {
--- a/internal/daemon/reach.go
+++ b/internal/daemon/reach.go
@@ -23,8 +23,8 @@
 		return ""
 	}
 	address, err := netip.ParseAddr(u.Hostname())
-	here := err == nil && (address.IsLoopback() || address.IsUnspecified())
-	if !here && u.Hostname() != "localhost" || own.Addr().IsLoopback() {
+	local := err == nil && (address.IsLoopback() || address.IsUnspecified())
+	if !local && u.Hostname() != "localhost" || own.Addr().IsLoopback() {
 		return backend
 	}
 	host := own.Addr().String()
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -27,7 +27,7 @@
 	sweepInterval = time.Second
 	// lagInterval is the time between two looks at the wait for the processor:
 	// long enough for some hundred samples, short against a burst of seconds.
-	lagInterval = 250 * time.Millisecond
+	schedLatencyInterval = 250 * time.Millisecond
 	// stopDelay is how long a router that stops still takes new connections
 	// while its balancer learns of it: the balancer asks once a second and
 	// takes it out after two misses.
@@ -38,10 +38,10 @@
 	// configuration is known.
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 3 * time.Second
-	defaultIdle          = 15 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
 	// idleFactor keeps connections open longer than callers reuse them, so
 	// that a request never crosses our close.
-	idleFactor = 2
+	idleTimeoutFactor = 2
 )
 
 // routerProcess is a running router.
@@ -59,37 +59,37 @@
 
 // RunRouter runs a router until ctx ends and the graceful shutdown is over.
 func RunRouter(ctx context.Context, file string, out io.Writer) error {
-	readAt := modified(file)
+	readAt := modTime(file)
 	s, err := settings.LoadRouter(file)
 	if err != nil {
 		return err
 	}
-	node, err := newNodeProcess(&s.Node, out, slices.Concat(router.Counters, shellCounters))
+	node, err := newNodeProcess(&s.Node, out, slices.Concat(router.Counters, processCounters))
 	if err != nil {
 		return err
 	}
-	node.readAt = readAt
+	node.settingsModTime = readAt
 	p := &routerProcess{nodeProcess: node, settings: s}
 	err = p.run(ctx, file)
-	p.stopped(err)
+	p.logStopped(err)
 	return err
 }
 
 func (p *routerProcess) run(ctx context.Context, file string) error {
 	p.log.Info("router starting", "callers", p.settings.Callers.String(), "zone", string(p.settings.Zone),
 		"store", p.settings.Store.String())
-	p.links = p.nodeProcess.links(p.fromPeer)
+	p.links = p.nodeProcess.newLinks(p.handlePeerEvent)
 	store := platform.NewStore(p.settings.Store.String(), storeTimeout, p.countStoreCall)
 	defer store.Close()
-	notes := newNoteKeeper(store, p.log)
+	notes := newNoteWriter(store, p.log)
 	p.gateway = gateway.New(router.New(router.Options{
 		Host: core.HostID(p.settings.Address), Zone: p.settings.Zone, LoaderPort: p.settings.LoaderPort, Processor: p.settings.Processor,
 		Bounds: p.settings.Fleet(), Seed: randomUint64(),
-	}), gateway.Options{Links: p.links, Publish: notes.put, LookIntoStore: p.lookIntoStore, Metrics: p.metrics, Log: p.log, Requests: p.requests})
-	p.reader = newStoreReader(store, p.gateway, readPause(p.settings.Bounds), p.log)
-	p.reader.spread = p.spreadConfig
+	}), gateway.Options{Links: p.links, Publish: notes.put, LookIntoStore: p.readStoreNow, Metrics: p.metrics, Log: p.log, Requests: p.requests})
+	p.reader = newStoreReader(store, p.gateway, maxReadInterval(p.settings.Bounds), p.log)
+	p.reader.spreadConfig = p.spreadConfig
 	p.reader.send = func(to []core.HostID, news core.Message) { p.links.SendAll(to, news) }
-	if err := p.serve(p.settings.Readiness, &http.Server{Handler: p.readiness(), ReadHeaderTimeout: drainTime}); err != nil {
+	if err := p.serve(p.settings.Readiness, &http.Server{Handler: p.readiness(), ReadHeaderTimeout: shutdownTimeout}); err != nil {
 		return err
 	}
 	if err := p.serveOperators(p.dump, p.ready.Load, p.mountLift); err != nil {
@@ -99,12 +99,12 @@
 	defer cancel()
 	known := make(chan struct{})
 	go p.reader.run(background, func() {
-		p.announce()
+		p.setReady()
 		close(known)
 	})
 	go notes.run(background)
 	go every(background, sweepInterval, p.gateway.Sweep)
-	go p.watchLag(background)
+	go p.reportSchedLatency(background)
 	go p.watchSettings(background, file, func() error { return p.reload(file) })
 	select {
 	case <-known:
@@ -125,7 +125,7 @@
 
 // serveCallers opens the callers' listener with the limits in force.
 func (p *routerProcess) serveCallers() error {
-	limits := fleet.Limits{MaxHeaderBytes: defaultHeaderBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdle}
+	limits := fleet.Limits{MaxHeaderBytes: defaultHeaderBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 	p.gateway.Look(func(r *router.Router) {
 		if l := r.Limits(); l.MaxHeaderBytes > 0 {
 			limits = l
@@ -137,13 +137,13 @@
 		ConnState:         p.conns.state,
 		MaxHeaderBytes:    limits.MaxHeaderBytes,
 		ReadHeaderTimeout: limits.HeaderTimeout,
-		IdleTimeout:       idleFactor * limits.IdleTimeout,
+		IdleTimeout:       idleTimeoutFactor * limits.IdleTimeout,
 	}
 	listener, err := listen(p.settings.Callers)
 	if err != nil {
 		return err
 	}
-	p.serveOn(p.conns.listen(listener), p.callers)
+	p.serveOn(p.conns.wrap(listener), p.callers)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	p.metrics.Do(core.Count{Name: countKVCalls, Labels: []string{op, result}, Add: 1})
 }
 
-func (p *routerProcess) lookIntoStore() { p.reader.lookSoon() }
+func (p *routerProcess) readStoreNow() { p.reader.readNow() }
 
 // readiness answers the balancer.
 func (p *routerProcess) readiness() http.Handler {
@@ -192,14 +192,14 @@
 		return err
 	}
 	p.gateway.Look(func(r *router.Router) { r.SetBounds(s.Fleet()) })
-	p.reader.setPause(readPause(s.Bounds))
+	p.reader.setMaxInterval(maxReadInterval(s.Bounds))
 	return nil
 }
 
 // watchLag tells the reducer how long work waits for the processor.
-func (p *routerProcess) watchLag(ctx context.Context) {
-	var waits schedWaits
-	every(ctx, lagInterval, func() { p.gateway.Step(router.CPUWaitMeasured{Wait: waits.lately()}) })
+func (p *routerProcess) reportSchedLatency(ctx context.Context) {
+	var waits schedLatency
+	every(ctx, schedLatencyInterval, func() { p.gateway.Step(router.CPUWaitMeasured{Wait: waits.sinceLast()}) })
 }
 
 // every calls f at each interval until ctx ends.
@@ -217,7 +217,7 @@
 }
 
 // fromPeer feeds what loaders say to the reducer.
-func (p *routerProcess) fromPeer(event core.Event) {
+func (p *routerProcess) handlePeerEvent(event core.Event) {
 	switch e := event.(type) {
 	case core.PeerUp:
 		p.gateway.Step(router.LoaderUp{Loader: e.Peer})
@@ -226,25 +226,25 @@
 	case core.Received:
 		switch m := e.Message.(type) {
 		case core.Holdings:
-			p.reader.heardOf(m.Config)
+			p.reader.configAnnounced(m.Config)
 			p.gateway.Step(router.LoaderReported{Loader: e.From, Holdings: m})
 		case core.Counts:
 			p.gateway.Step(router.LoaderCountsReported{Loader: e.From, Counts: m})
 		case core.LoadDigest:
-			p.reader.heardOf(m.Config)
+			p.reader.configAnnounced(m.Config)
 			p.gateway.Step(router.DigestReceived{Digest: m})
 		case core.SpecWanted:
 			p.gateway.Step(router.LoaderSpecRequested{Loader: e.From})
 		case core.ConfigWanted:
 			p.passConfig(e.From, m.Above)
 		case core.ConfigPassed:
-			p.takeConfig(m)
+			p.applyPassedConfig(m)
 		case core.QuotaTold:
 			p.gateway.Step(router.LoaderAnsweredQuota{Loader: e.From, Answer: m})
 		case core.LimitTold:
 			p.gateway.Step(router.LoaderAnsweredLimit{Loader: e.From, Answer: m})
 		case core.RegistryNews:
-			p.reader.hear(m)
+			p.reader.applyPeerNews(m)
 		case core.PoisonNews:
 			p.gateway.Step(router.PoisonReported{News: m})
 		}
@@ -252,12 +252,12 @@
 }
 
 // readPause is the longest time between two looks at the store.
-func readPause(bounds settings.RouterBounds) time.Duration {
-	return min(bounds.Drain, bounds.ConfigDelay) / readsPerBound
+func maxReadInterval(bounds settings.RouterBounds) time.Duration {
+	return min(bounds.Drain, bounds.ConfigDelay) / readsPerDeadline
 }
 
 // announce tells the balancer that the router is ready.
-func (p *routerProcess) announce() {
+func (p *routerProcess) setReady() {
 	p.ready.Store(true)
 	p.log.Info("ready")
 }
--- a/internal/daemon/schedwaits.go
+++ b/internal/daemon/schedlatency.go
@@ -12,13 +12,13 @@
 	schedMetric = "/sched/latencies:seconds"
 	// waitShare is the part of all waits that is below the one that counts: the
 	// ninth decile follows a queue and ignores single stalls.
-	waitShare = 0.9
+	latencyQuantile = 0.9
 	// leastWaits is the least number of waits that tell of the load.
-	leastWaits = 20
+	minSamples = 20
 )
 
 // schedWaits reads how long goroutines waited for the processor.
-type schedWaits struct {
+type schedLatency struct {
 	sample [1]metrics.Sample
 	// counts of the histogram at the last look.
 	counts []uint64
@@ -26,7 +26,7 @@
 
 // lately is the ninth decile of the waits since the last call, 0 at the first
 // call and where there were too few.
-func (w *schedWaits) lately() time.Duration {
+func (w *schedLatency) sinceLast() time.Duration {
 	w.sample[0].Name = schedMetric
 	metrics.Read(w.sample[:])
 	if w.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
@@ -48,21 +48,21 @@
 	for i, n := range histogram.Counts {
 		total += n - counts[i]
 	}
-	if total < leastWaits {
+	if total < minSamples {
 		return 0
 	}
 	seen := uint64(0)
 	for i, n := range histogram.Counts {
 		seen += n - counts[i]
-		if float64(seen) >= waitShare*float64(total) {
-			return secondsOf(histogram.Buckets[i+1], histogram.Buckets[i])
+		if float64(seen) >= latencyQuantile*float64(total) {
+			return bucketDuration(histogram.Buckets[i+1], histogram.Buckets[i])
 		}
 	}
 	return 0 // not reached: all counts together are the total
 }
 
 // secondsOf takes the lower bound of the last bucket, which has no upper one.
-func secondsOf(upper, lower float64) time.Duration {
+func bucketDuration(upper, lower float64) time.Duration {
 	if math.IsInf(upper, 1) {
 		upper = lower
 	}
--- a/internal/daemon/schedwaits_test.go
+++ b/internal/daemon/schedlatency_test.go
@@ -9,7 +9,7 @@
 
 // A burst is over. The waits of its seconds must not count any more, or a router
 // would go on refusing requests that it has the time for.
-func TestOnlyNewWaitsCount(t *testing.T) {
+func TestQuantileSinceIgnoresOldSamples(t *testing.T) {
 	buckets := []float64{math.Inf(-1), 0.001, 0.010, 0.100, math.Inf(1)}
 	burst := []uint64{0, 0, 0, 1000}
 	for _, c := range []struct {
@@ -18,7 +18,7 @@
 		want   time.Duration
 	}{
 		{"nothing new", []uint64{0, 0, 0, 1000}, 0},
-		{"too few", []uint64{0, 0, leastWaits - 1, 1000}, 0},
+		{"too few", []uint64{0, 0, minSamples - 1, 1000}, 0},
 		{"short waits", []uint64{95, 5, 0, 1000}, time.Millisecond},
 		{"a tenth is long", []uint64{80, 0, 20, 1000}, 100 * time.Millisecond},
 		{"over all bounds", []uint64{0, 0, 0, 1100}, 100 * time.Millisecond},
@@ -31,9 +31,9 @@
 }
 
 // The runtime has the histogram; without it no router would ever shed load.
-func TestRuntimeTellsWaits(t *testing.T) {
-	var w schedWaits
-	if got := w.lately(); got != 0 || len(w.counts) == 0 {
+func TestRuntimeHasSchedLatency(t *testing.T) {
+	var w schedLatency
+	if got := w.sinceLast(); got != 0 || len(w.counts) == 0 {
 		t.Errorf("%v from %d buckets at the first look", got, len(w.counts))
 	}
 }
--- a/internal/daemon/storereader.go
+++ b/internal/daemon/storereader.go
@@ -24,19 +24,19 @@
 	storeTimeout = time.Second
 	// readsPerBound is how often news of the store comes, at the least, within the
 	// shortest time in which a change must be in force. Two may fail or be late.
-	readsPerBound = 3
+	readsPerDeadline = 3
 	// configWait is how long one call waits for the first configuration. 68 routers
 	// that asked each 100 ms until there was one made a third of a day's calls.
-	configWait = 2 * time.Second
+	firstConfigPoll = 2 * time.Second
 	// relays is how many loaders pass on what a router has read. One may be frozen
 	// or cut off; with two, news are late only where both are.
-	relays = 2
+	relayCount = 2
 	// maxProblems bounds the faults that are remembered, some 200 bytes each.
-	maxProblems = 500
+	maxLoggedProblems = 500
 )
 
 // errOldEra tells of an answer that the store gave before it went back.
-var errOldEra = errors.New("the answer is from before the store went back")
+var errStaleSnapshot = errors.New("the answer is from before the store went back")
 
 // storeReader keeps a router's view of the platform's store up to date: from its own
 // reads and from those of other routers, which loaders pass on. It reads what changed,
@@ -48,13 +48,13 @@
 	// send passes news to loaders.
 	send func(to []core.HostID, news core.Message)
 	// spread passes a configuration that was read on to the other routers.
-	spread func(*fleet.Config)
-	log    *slog.Logger
+	spreadConfig func(*fleet.Config)
+	log          *slog.Logger
 	// wake ends the wait for the next read, and look makes it due now.
-	wake chan struct{}
-	look atomic.Bool
+	wake    chan struct{}
+	readDue atomic.Bool
 	// problems are the faults of the store's values that were logged, by key.
-	problems map[string]string
+	loggedProblems map[string]string
 
 	// mu guards the reader, and is held while what was read is applied, so that
 	// news and own reads are applied in the order in which they are judged.
@@ -62,13 +62,13 @@
 	reader *registry.Reader
 	// wanted is the version of the configuration that was heard of, to be read at
 	// wantedDue.
-	wanted    int64
-	wantedDue core.Time
+	wantedVersion int64
+	wantedDue     core.Time
 }
 
 func newStoreReader(store *platform.Store, g *gateway.Gateway, pause time.Duration, log *slog.Logger) *storeReader {
 	return &storeReader{
-		store: store, gateway: g, log: log, wake: make(chan struct{}, 1), problems: map[string]string{},
+		store: store, gateway: g, log: log, wake: make(chan struct{}, 1), loggedProblems: map[string]string{},
 		reader: registry.NewReader(pause, randomUint64()),
 	}
 }
@@ -81,11 +81,11 @@
 		case err == nil:
 		case errors.Is(err, platform.ErrCompacted):
 			s.log.Info("store history was discarded; reading the whole again")
-			s.locked(func() { s.reader.RequireFullRead(clock.Now()) })
+			s.withLock(func() { s.reader.RequireFullRead(clock.Now()) })
 		default:
 			s.log.Warn("store read failed", "error", err.Error())
 			s.gateway.Step(router.StoreState{Reachable: false})
-			s.failed()
+			s.readFailed()
 		}
 		if known != nil && s.ready() {
 			known()
@@ -96,11 +96,11 @@
 }
 
 // setPause replaces the longest time between two looks at the store.
-func (s *storeReader) setPause(pause time.Duration) {
-	s.locked(func() { s.reader.SetMaxInterval(pause) })
+func (s *storeReader) setMaxInterval(pause time.Duration) {
+	s.withLock(func() { s.reader.SetMaxInterval(pause) })
 }
 
-func (s *storeReader) locked(f func()) {
+func (s *storeReader) withLock(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -118,7 +118,7 @@
 	return version
 }
 
-func (s *storeReader) failed() {
+func (s *storeReader) readFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reader.Failed(clock.Now())
@@ -144,8 +144,8 @@
 
 // lookSoon makes the next read due now. It may be called from within a step of the
 // reducer, and so takes no lock.
-func (s *storeReader) lookSoon() {
-	s.look.Store(true)
+func (s *storeReader) readNow() {
+	s.readDue.Store(true)
 	s.wakeUp()
 }
 
@@ -158,12 +158,12 @@
 
 // due is when the next read is.
 func (s *storeReader) due() core.Time {
-	if s.look.Load() {
+	if s.readDue.Load() {
 		return clock.Now()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wanted > s.configVersion() {
+	if s.wantedVersion > s.configVersion() {
 		return min(s.wantedDue, s.reader.Due())
 	}
 	return s.reader.Due()
@@ -171,14 +171,14 @@
 
 // read makes the call that is due.
 func (s *storeReader) read(ctx context.Context) error {
-	s.look.Store(false)
+	s.readDue.Store(false)
 	revision, wanted := int64(0), int64(0)
-	s.locked(func() { revision, wanted = s.reader.Known().Revision, s.wanted })
+	s.withLock(func() { revision, wanted = s.reader.Known().Revision, s.wantedVersion })
 	switch {
 	case revision == 0:
 		return s.readWhole(ctx)
 	case !s.ready():
-		written, err := s.store.AwaitConfig(ctx, revision, configWait)
+		written, err := s.store.AwaitConfig(ctx, revision, firstConfigPoll)
 		if err != nil || !written {
 			return err
 		}
@@ -196,18 +196,18 @@
 	if err != nil {
 		return err
 	}
-	s.report(snapshot.Problems)
+	s.logProblems(snapshot.Problems)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.countReaders()
+	s.updateReaderCount()
 	s.gateway.Step(router.StoreState{Reachable: true})
 	reading := s.reader.ReadWhole(clock.Now(), snapshot.At)
 	if reading == registry.Stale {
-		return errOldEra
+		return errStaleSnapshot
 	}
 	if snapshot.Config != nil {
 		s.gateway.Step(router.ConfigRead{Config: snapshot.Config})
-		s.confirm(begun)
+		s.confirmConfig(begun)
 	}
 	if reading == registry.Restored {
 		s.gateway.Step(router.StoreRestored{To: snapshot.At})
@@ -230,9 +230,9 @@
 		return err
 	}
 	s.gateway.Step(router.ConfigRead{Config: config})
-	s.locked(func() {
-		if s.wanted == wanted {
-			s.wanted = 0
+	s.withLock(func() {
+		if s.wantedVersion == wanted {
+			s.wantedVersion = 0
 		}
 	})
 	return nil
@@ -244,22 +244,22 @@
 	if err != nil {
 		return err
 	}
-	s.report(changes.Problems)
+	s.logProblems(changes.Problems)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.countReaders()
+	s.updateReaderCount()
 	s.gateway.Step(router.StoreState{Reachable: true})
 	if changes.At.Era > s.reader.Known().Era {
 		s.log.Warn("store went back; reading the whole again", "known", s.reader.Known().String(), "now", changes.At.String())
 	}
 	if changes.Config != nil {
 		s.gateway.Step(router.ConfigRead{Config: changes.Config})
-		s.spread(changes.Config)
+		s.spreadConfig(changes.Config)
 	}
-	s.confirm(begun)
+	s.confirmConfig(begun)
 	if s.reader.ReadChanges(clock.Now(), revision, changes.At) == registry.Current {
 		poison := decodeNotes(changes.Notes, s.log)
-		s.passOn(revision, changes, poison)
+		s.relayChanges(revision, changes, poison)
 		s.gateway.Step(router.PoisonReported{News: poison})
 		s.gateway.Step(router.BackendsChanged{Written: changes.Written, Removed: changes.Removed})
 	}
@@ -267,21 +267,21 @@
 }
 
 // countReaders tells the reader how many routers read the store. The caller holds s.mu.
-func (s *storeReader) countReaders() {
+func (s *storeReader) updateReaderCount() {
 	s.gateway.Look(func(r *router.Router) { s.reader.SetReaders(r.Routers()) })
 }
 
 // confirm tells the reducer that what it has was the newest when a read began, unless a
 // newer version was heard of. The caller holds s.mu.
-func (s *storeReader) confirm(begun core.Time) {
-	if version := s.configVersion(); version > 0 && s.wanted <= version {
+func (s *storeReader) confirmConfig(begun core.Time) {
+	if version := s.configVersion(); version > 0 && s.wantedVersion <= version {
 		s.gateway.Step(router.ConfigConfirmed{AsOf: begun})
 	}
 }
 
 // passOn tells the other routers, before the changes are applied here: what is told is
 // what differs from what was known.
-func (s *storeReader) passOn(from int64, changes platform.Changes, poison core.PoisonNews) {
+func (s *storeReader) relayChanges(from int64, changes platform.Changes, poison core.PoisonNews) {
 	news := core.RegistryNews{From: from, To: changes.At.Revision, Era: changes.At.Era, Poison: poison}
 	for instance := range changes.Removed {
 		news.Removed = append(news.Removed, instance)
@@ -292,42 +292,42 @@
 	var to []core.HostID
 	s.gateway.Look(func(r *router.Router) {
 		news.Written = r.ChangedEntries(changes.Written)
-		to = r.Relays(relays)
+		to = r.Relays(relayCount)
 	})
 	s.send(to, news)
 }
 
 // hear takes in what another router has read.
-func (s *storeReader) hear(news core.RegistryNews) {
+func (s *storeReader) applyPeerNews(news core.RegistryNews) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.countReaders()
+	s.updateReaderCount()
 	if s.reader.PeerReadChanges(clock.Now(), news.From, core.StorePosition{Era: news.Era, Revision: news.To}) == registry.Current {
 		s.gateway.Step(router.NewsReceived{News: news})
 	}
-	s.want(news.Config)
+	s.requestConfig(news.Config)
 }
 
 // heardOf takes in that a configuration of a version is there.
-func (s *storeReader) heardOf(version int64) {
+func (s *storeReader) configAnnounced(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.want(version)
+	s.requestConfig(version)
 }
 
 // want has a configuration read, and asked for if that fails. The caller holds s.mu.
-func (s *storeReader) want(version int64) {
-	if version <= max(s.wanted, s.configVersion()) {
+func (s *storeReader) requestConfig(version int64) {
+	if version <= max(s.wantedVersion, s.configVersion()) {
 		return
 	}
-	s.wanted, s.wantedDue = version, clock.Now().Add(s.spreadWait())
+	s.wantedVersion, s.wantedDue = version, clock.Now().Add(s.configReadDelay())
 	s.gateway.Step(router.ConfigAnnounced{Version: version})
 	s.wakeUp()
 }
 
 // spreadWait is how long a configuration is left to be passed on. Few routers read first if
 // it is not, as with the registry's news.
-func (s *storeReader) spreadWait() time.Duration {
+func (s *storeReader) configReadDelay() time.Duration {
 	wait := time.Duration(0)
 	s.gateway.Look(func(r *router.Router) { wait = r.ConfigRelayWait() })
 	return time.Duration(s.reader.DelayFraction() * float64(wait))
@@ -335,16 +335,16 @@
 
 // report logs values of the platform that can't be decoded. One that is written
 // again and again is told once, until it changes.
-func (s *storeReader) report(problems []platform.Problem) {
+func (s *storeReader) logProblems(problems []platform.Problem) {
 	for _, problem := range problems {
 		text := problem.Err.Error()
-		if s.problems[problem.Key] == text {
+		if s.loggedProblems[problem.Key] == text {
 			continue
 		}
-		if len(s.problems) >= maxProblems {
-			clear(s.problems)
+		if len(s.loggedProblems) >= maxLoggedProblems {
+			clear(s.loggedProblems)
 		}
-		s.problems[problem.Key] = text
+		s.loggedProblems[problem.Key] = text
 		s.log.Error("value of the platform can't be read and is left out", "key", problem.Key, "error", text)
 	}
 }
