--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -14,7 +14,7 @@
 	"nutmeglane.example/nutmeglane/internal/wire"
 )
 
-// Agent is an agent process, ready to run.
+// Agent is an agent process that is ready to run.
 type Agent struct {
 	*process
 	Addresses Addresses
@@ -73,12 +73,12 @@
 	p.serve(operators, &http.Server{
 		Handler: p.operatorsHandler(s.Operators.Token, extra, nil), ReadHeaderTimeout: shutdownTimeout,
 	}, operatorCerts)
-	// The first step lets the reducer begin: it takes an inventory.
+	// The first event makes the reducer take an inventory of the engine.
 	p.loop.Post(core.Tick{})
 	return a, nil
 }
 
-// Run serves until ctx ends and the graceful shutdown is over.
+// Run serves until ctx ends and the graceful shutdown is complete.
 func (a *Agent) Run(ctx context.Context) error {
 	a.logger.Info("agent started", "peers", a.Addresses.Peers.String(), "operators", a.Addresses.Operators.String())
 	return a.run(ctx, core.Stop{Limit: a.settings.StopLimit})
--- a/internal/daemon/blueprint.go
+++ b/internal/daemon/blueprint.go
@@ -1,5 +1,5 @@
-// Package daemon assembles the two processes, entry and agent, from their
-// settings: a reducer, the loop that owns it, the executors and the listeners.
+// Package daemon assembles the processes (entry, agent, router and loader) from
+// their settings: a reducer, what executes its effects, and the listeners.
 package daemon
 
 import (
@@ -17,21 +17,21 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// Blueprint is all it takes to build a process's reducer. It is the header of
-// a recorded run, so that the run can be replayed.
+// Blueprint contains everything needed to build the reducer of an entry or agent.
+// It is written as the header of a recorded run, so that the run can be replayed.
 type Blueprint struct {
 	Role        settings.Role    `cbor:"1,keyasint"`
 	Host        core.HostID      `cbor:"2,keyasint"`
 	Incarnation core.Incarnation `cbor:"3,keyasint"`
 	Zone        core.Zone        `cbor:"4,keyasint"`
 	Seed        uint64           `cbor:"5,keyasint"`
-	// Address is the "IP:port" that other processes dial (agents).
+	// Address is the "IP:port" that other processes dial (agents only).
 	Address string           `cbor:"6,keyasint,omitempty"`
 	Kind    core.BackendKind `cbor:"7,keyasint,omitempty"`
 	Service string           `cbor:"8,keyasint,omitempty"`
 	Timings core.Timings     `cbor:"9,keyasint"`
 	Limits  Limits           `cbor:"10,keyasint"`
-	// Backend is the engine's base URL as other hosts reach it (agents).
+	// Backend is the base URL by which other hosts reach the engine (agents only).
 	Backend string `cbor:"11,keyasint,omitempty"`
 }
 
@@ -42,7 +42,7 @@
 	StreamWindow int   `cbor:"3,keyasint"`
 }
 
-// Build makes the reducer.
+// Build creates the reducer.
 func (b Blueprint) Build() (*machine.Machine, error) {
 	switch b.Role {
 	case settings.RoleEntry:
@@ -66,8 +66,8 @@
 				StreamWindow: uint32(b.Limits.StreamWindow),
 			},
 		}, manager)},
-		// The steward comes after the entry part: on a new connection both say
-		// Hello, and the last one tells the agent whether to report.
+		// The steward must come after the entry part: both send a Hello on a new
+		// connection, and the last one determines whether the agent reports here.
 		machine.Named{Name: "steward", Part: steward.New(steward.Config{
 			Host: b.Host, Incarnation: b.Incarnation, Zone: b.Zone,
 			Address: b.Address, Timings: b.Timings, Seed: b.Seed,
@@ -88,7 +88,7 @@
 	)
 }
 
-// Counters lists the metrics of both roles' parts.
+// Counters returns the counters of all reducer parts of entries and agents.
 func Counters() []core.CounterDef {
 	var defs []core.CounterDef
 	defs = append(defs, config.Counters()...)
--- a/internal/daemon/callerconns.go
+++ b/internal/daemon/callerconns.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// closeInterval is the pause between two looks for idle connections while the
-	// process stops: a tenth of the time in which a caller on a new connection can
-	// have its answer.
+	// drainPollInterval is the interval at which idle connections are closed while the
+	// process stops: a tenth of the time within which a caller can get an answer on a
+	// new connection.
 	drainPollInterval = 20 * time.Millisecond
-	// firstRequestWait is how long a new connection counts as one whose request is on
-	// its way.
+	// firstRequestWait is how long a new connection without a request is not considered
+	// idle, because its first request may be in transit.
 	firstRequestWait = time.Second
 )
 
-// callerConns are the connections of a server that is to stop without losing a
-// request.
+// callerConns tracks the connections of a server, so that it can be stopped without
+// losing a request.
 //
-// It guards against http.Server.Shutdown, which closes a connection while its
-// next request is being read: until the header has been parsed the connection
-// counts as idle. On a host that waits for its processor that takes a tenth of a
-// second and more, and the caller sees the connection close on a request that
-// was read, with nothing to tell whether it ran. Here reading and closing
-// exclude each other: a connection of which a byte was read since its last
-// answer, or for which one lies in the kernel, is never closed.
+// http.Server.Shutdown is not used because it closes connections while their next
+// request is being read: until the header has been parsed it treats the connection as
+// idle. On a host with a busy processor parsing is delayed by a tenth of a second or
+// more; the caller then sees its connection close after the request was read and can't
+// determine whether it ran. Here reading and closing are mutually exclusive: a
+// connection is never closed if a byte was read since its last answer or is available
+// in the kernel.
 //
-// It guards as well against resets of callers that connect while the process
-// stops: of connections that wait in the kernel to be accepted when the listener
-// closes, and of one that is closed before its first request has come.
+// It also prevents resets for callers that connect while the process stops: of
+// connections in the kernel's accept queue when the listener closes, and of a
+// connection whose first request has not arrived yet.
 type callerConns struct {
 	listener net.Listener
 
-	// draining is set once connections are to end with their answers.
+	// draining is set once connections are to be closed after their answers.
 	draining atomic.Bool
 
 	mu   sync.Mutex
@@ -52,13 +52,13 @@
 
 func newCallerConns() *callerConns { return &callerConns{open: map[*callerConn]struct{}{}} }
 
-// listen makes the connections of the listener known. It is called once.
+// wrap returns a listener whose connections are tracked. It is called once.
 func (c *callerConns) wrap(l net.Listener) net.Listener {
 	c.listener = l
 	return callerListener{l, c}
 }
 
-// state is the server's ConnState hook.
+// onStateChange is the server's ConnState hook.
 func (c *callerConns) state(conn net.Conn, onStateChange http.ConnState) {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
@@ -68,26 +68,26 @@
 	}
 }
 
-// drain closes the listener once no connection waits there, then connections as they
-// fall idle, until none is left or ctx ends.
+// drain closes the listener once its accept queue is empty, then connections as they
+// become idle, until none is left or ctx ends.
 func (c *callerConns) drain(ctx context.Context) error {
 	c.draining.Store(true)
 	if c.listener != nil {
 		for c.hasPendingConn() && ctx.Err() == nil {
 			sleep(ctx, drainPollInterval)
 		}
-		_ = c.listener.Close() // nobody waits for what it would say
+		_ = c.listener.Close() // an error would change nothing
 	}
 	for c.closeIdle() > 0 {
 		if err := ctx.Err(); err != nil {
-			return errors.Wrapf(err, "%d connections with requests", c.closeIdle())
+			return errors.Wrapf(err, "%d connections still have requests", c.closeIdle())
 		}
 		sleep(ctx, drainPollInterval)
 	}
 	return nil
 }
 
-// waiting tells whether a connection waits in the kernel to be accepted.
+// hasPendingConn reports whether the kernel's accept queue has a connection.
 func (c *callerConns) hasPendingConn() bool {
 	withFD, ok := c.listener.(syscall.Conn)
 	if !ok {
@@ -97,17 +97,17 @@
 	if err != nil {
 		return false
 	}
-	waits := false
+	pending := false
 	err = raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-		n, err := unix.Poll(look, 0)
-		waits = err == nil && n > 0 && look[0].Revents&unix.POLLIN != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+		n, err := unix.Poll(fds, 0)
+		pending = err == nil && n > 0 && fds[0].Revents&unix.POLLIN != 0
 	})
-	return err == nil && waits
+	return err == nil && pending
 }
 
-// closeIdle closes the connections without a request and returns how many are
-// left.
+// closeIdle closes the connections without a request and returns the number of
+// those that remain open.
 func (c *callerConns) closeIdle() int {
 	c.mu.Lock()
 	conns := make([]*callerConn, 0, len(c.open))
@@ -139,18 +139,18 @@
 func (l callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
-		return nil, http.ErrServerClosed // a planned stop, no failure of Serve
+		return nil, http.ErrServerClosed // drain closed the listener; Serve has not failed
 	}
 	if err != nil {
 		return nil, err
 	}
 	withFD, ok := conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.Newf("connection of type %T has no descriptor", conn)
+		return nil, errors.Newf("connection of type %T has no file descriptor", conn)
 	}
 	raw, err := withFD.SyscallConn()
 	if err != nil {
-		return nil, errors.Wrap(err, "descriptor of connection")
+		return nil, errors.Wrap(err, "file descriptor of connection")
 	}
 	caller := &callerConn{Conn: conn, raw: raw, conns: l.conns, opened: time.Now(), idle: true}
 	l.conns.mu.Lock()
@@ -159,7 +159,7 @@
 	return caller, nil
 }
 
-// callerConn is a caller's connection.
+// callerConn is a caller's connection that tracks whether it is idle.
 type callerConn struct {
 	net.Conn
 	raw    syscall.RawConn
@@ -167,27 +167,28 @@
 	opened time.Time
 
 	mu sync.Mutex
-	// asked is set once a byte was read, idle while none was since the last answer.
+	// everRead is set once a byte was read; idle is set while no byte was read since
+	// the last answer.
 	everRead, idle bool
 }
 
-// Read implements net.Conn. A byte is taken from the kernel and the connection
-// stops being idle in one step under the lock.
+// Read implements net.Conn. It reads from the kernel and clears the idle state
+// atomically, under the lock.
 func (c *callerConn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	var n int
-	var failed error
+	var readErr error
 	err := c.raw.Read(func(fd uintptr) bool {
-		n, failed = c.readFD(int(fd), p)
-		return failed != syscall.EAGAIN
+		n, readErr = c.readFD(int(fd), p)
+		return readErr != syscall.EAGAIN
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", failed)}
+	case readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", readErr)}
 	case n == 0:
 		return 0, io.EOF
 	}
@@ -209,24 +210,25 @@
 	}
 }
 
-// answered notes that the last request has its answer.
+// setIdle records that the last request was answered. While connections are drained,
+// it closes the connection.
 //
-// It guards against a request that is taken long after the stop was announced: a
-// stream whose head went out before then ends in the meantime, its connection is
-// kept as its head said, and the caller's next stream would be cut at the stop
-// limit. So while connections are drained, one closes with its answer. What its
-// caller may have sent by then was not read, which tells it that it did not run.
+// Otherwise a request could be accepted long after the shutdown began: the head of a
+// stream that was sent before then keeps the connection alive, and the caller's next
+// stream on it would be aborted at the stop limit. A request that the caller has sent
+// by the time of closing was not read, from which the caller can infer that it did
+// not run.
 func (c *callerConn) setIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = true
 	if c.conns.draining.Load() {
-		_ = c.Close() // it is closed either way
+		_ = c.Close() // after an error it is closed as well
 	}
 }
 
-// closeIfIdle closes the connection unless it has a request, and reports
-// whether it is closed.
+// closeIfIdle closes the connection unless it has a request or is new, and reports
+// whether it did.
 func (c *callerConn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,24 +236,24 @@
 	if !c.idle || isNew || c.hasUnreadData() {
 		return false
 	}
-	_ = c.Close() // it is closed either way
+	_ = c.Close() // after an error it is closed as well
 	return true
 }
 
-// unread tells whether bytes wait in the kernel.
+// hasUnreadData reports whether the kernel has received bytes that were not read.
 func (c *callerConn) hasUnreadData() bool {
-	waiting := false
+	available := false
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waiting = err == nil && n > 0
+		available = err == nil && n > 0
 	})
-	return err == nil && waiting
+	return err == nil && available
 }
 
-// CloseWrite ends the answers and leaves reading open, as http.Server does with a caller that
-// still sends a body that was refused: closed whole, its connection would be reset, perhaps
-// before it has read the refusal.
+// CloseWrite closes the connection for writing only. http.Server calls it while a caller is
+// still sending a body that was refused: closing the connection completely would reset it,
+// possibly before the caller has read the refusal.
 func (c *callerConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/daemon/callerconns_test.go
+++ b/internal/daemon/callerconns_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// watchedConn is a caller's connection that tells when the server has read from it.
+// watchedConn is a caller's connection that signals each read of the server.
 type watchedConn struct {
 	*callerConn
 	reads chan struct{}
@@ -40,7 +40,7 @@
 	return watchedConn{conn.(*callerConn), l.reads}, nil
 }
 
-// watched are the events of the server's only connection: a read of bytes, and the
+// connEvents signals events of the server's only connection: a read of bytes, and the
 // end of an answer.
 type connEvents struct{ reads, idle chan struct{} }
 
@@ -88,11 +88,10 @@
 	_ = response.Body.Close()
 }
 
-// A caller sends a further request on a kept connection just when its router
-// stops. The process has read a part of it and, short of processor time, not
-// parsed it yet when idle connections are closed: the caller saw its connection
-// close and could not know whether the request ran. With http.Server.Shutdown in
-// place of closeIdle this test fails.
+// Guards against a connection that closes on a request that is being read. A router
+// that stops has read a part of the request and, for lack of processor time, not
+// parsed it when idle connections are closed; the caller can't determine whether the
+// request ran. With http.Server.Shutdown in place of closeIdle this test fails.
 func TestStopKeepsConnWithPartlyReadRequest(t *testing.T) {
 	conns, events, conn, reader := callerServer(t)
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -102,14 +101,14 @@
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost")
 	<-events.reads
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left, wanted the one with a request", left)
+		t.Fatalf("%d connections remain open, want the one with a request", left)
 	}
 	writeText(t, conn, ": a\r\n\r\n")
 	readAnswer(t, reader)
 }
 
-// A request has arrived in the kernel when its router stops, and no goroutine
-// has had the processor to read it. Its connection is not idle.
+// A request is in the kernel's receive buffer when a router stops, and no goroutine
+// has read it yet. Its connection is not idle and must not be closed.
 func TestStopKeepsConnWithUnreadRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,23 +121,23 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = caller.Close() }()
-	// Accepted, and read by nobody.
+	// Accepts the connection without reading from it.
 	if _, err := conns.wrap(listener).Accept(); err != nil {
 		t.Fatal(err)
 	}
 	writeText(t, caller, "GET / HTTP/1.1\r\n")
 	for conn := range conns.open {
-		// Waits until bytes are there, and reads none.
+		// Waits until bytes are available, and reads none.
 		if err := conn.raw.Read(func(uintptr) bool { return conn.hasUnreadData() }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left, wanted the one with a request", left)
+		t.Fatalf("%d connections remain open, want the one with a request", left)
 	}
 }
 
-// Idle connections end at a planned stop, so that the process can.
+// Idle connections are closed at a graceful shutdown, so that the process can exit.
 func TestDrainClosesIdleConnections(t *testing.T) {
 	conns, events, conn, reader := callerServer(t)
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -152,10 +151,11 @@
 	}
 }
 
-// A stream began before its router was told to stop, so that its head promised to
-// keep the connection. It ends while connections are drained, and the caller sends
-// its next stream on the same connection, three seconds before the stop limit: it
-// was taken, and cut. The connection must end with the first answer.
+// Guards against a stream that is accepted during the shutdown and aborted at the stop
+// limit. A first stream began before the shutdown, so its head did not close the
+// connection. It ends while connections are drained, three seconds before the stop
+// limit, and the caller sends its next stream on the same connection. The connection
+// must be closed after the first answer.
 func TestDrainClosesConnAfterItsAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -180,7 +180,7 @@
 	<-began
 	conns.draining.Store(true)
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left beside a request", left)
+		t.Fatalf("%d connections remain open, want the one with a request", left)
 	}
 	close(end)
 	reader := bufio.NewReader(conn)
@@ -189,11 +189,11 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		t.Fatalf("the answer broke off: %v", err)
+		t.Fatalf("the answer was aborted: %v", err)
 	}
-	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // may fail: the connection ends
+	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // may fail: the connection is being closed
 	if _, err := http.ReadResponse(reader, nil); err == nil {
-		t.Fatal("a further request was taken")
+		t.Fatal("a further request was accepted")
 	}
 }
 
@@ -225,7 +225,7 @@
 	return listener.Addr().String()
 }
 
-// drainBegun begins to drain and returns once that is under way.
+// startDrain starts to drain and returns once the draining state is set.
 func startDrain(t *testing.T, conns *callerConns) {
 	t.Helper()
 	drained := make(chan error, 1)
@@ -240,8 +240,8 @@
 	}
 }
 
-// Guards against resets of callers whose connections wait in the kernel's queue when
-// the listener closes.
+// Guards against resets of callers whose connections are in the kernel's accept queue
+// when the listener closes.
 func TestDrainAcceptsPendingConnections(t *testing.T) {
 	conns, gate := newCallerConns(), make(chan struct{})
 	address := serveGated(t, conns, gate)
@@ -262,8 +262,8 @@
 	}
 }
 
-// Guards against a reset of a caller who has just connected and whose first request is
-// on its way.
+// Guards against a reset of a caller that has just connected and whose first request is
+// in transit.
 func TestDrainWaitsForFirstRequest(t *testing.T) {
 	conns, gate := newCallerConns(), make(chan struct{})
 	close(gate)
@@ -278,15 +278,15 @@
 		conns.mu.Unlock()
 	}
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left, wanted the new one", left)
+		t.Fatalf("%d connections remain open, want the new one", left)
 	}
 	startDrain(t, conns)
 	writeText(t, caller, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	readAnswer(t, bufio.NewReader(caller))
 }
 
-// Guards against a caller whose body is too large and who sees a reset in place of the
-// refusal: http.Server has to find a connection that can be closed by half.
+// Guards against a caller that gets a reset instead of the refusal of its too large body:
+// http.Server needs a connection that supports CloseWrite.
 func TestCallerConnHalfClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -304,10 +304,10 @@
 	}
 	half, ok := accepted.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
-		t.Fatal("the connection can't be closed by half")
+		t.Fatal("the connection can't be closed for writing only")
 	}
 	if _, err := caller.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the caller reads %v, want the end", err)
+		t.Errorf("the caller's read returned %v, want EOF", err)
 	}
 	writeText(t, caller, "rest of the body")
 	if n, err := accepted.Read(make([]byte, 32)); n == 0 || err != nil {
--- a/internal/daemon/change_bench_test.go
+++ b/internal/daemon/change_bench_test.go
@@ -15,10 +15,11 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// benchPeer is the connection between the writer and the measured agent.
+// benchPeerID is the peer on the connection between the writer and the measured agent.
 const benchPeerID = "peer"
 
-// benchDaemon is a role's reducer with the configuration part of its shell.
+// benchDaemon is the reducer of a role, with the code that puts its configurations in
+// force.
 type benchDaemon struct {
 	b       *testing.B
 	machine *machine.Machine
@@ -44,7 +45,8 @@
 	return d
 }
 
-// step feeds an event and all that it causes in the process and the KV service.
+// step passes an event to the reducer, executes its effects on the process and the KV
+// service, and continues with the events that they cause.
 func (d *benchDaemon) step(event core.Event) {
 	for events := []core.Event{event}; len(events) > 0; events = events[1:] {
 		for _, effect := range d.machine.Step(1, events[0]) {
@@ -86,8 +88,8 @@
 	}
 }
 
-// relay has the daemon fetch the newest revision as from a peer, whose own
-// work is left out.
+// fetchFromPeer makes the daemon fetch the newest revision from a peer, whose own work
+// is not included.
 func (d *benchDaemon) fetchFromPeer() {
 	d.sent = nil
 	d.step(core.Received{From: benchPeerID, Message: d.head()})
@@ -109,9 +111,9 @@
 	return record.Head
 }
 
-// BenchmarkConfigChange measures a change of one adapter at the entry that
-// takes the call, at another entry and at an agent, from the first event to
-// the new configuration in force.
+// BenchmarkConfigChange measures the change of one adapter, from the first event to the
+// new configuration in force: at the entry that receives the call ("taker"), at another
+// entry and at an agent.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, adapters := range []int{1000, 10_000, 42_000} {
 		resources := fleet.Declare(fleet.Declaration{Models: 130, Replicas: 48, Adapters: adapters})
--- a/internal/daemon/change_shell_test.go
+++ b/internal/daemon/change_shell_test.go
@@ -8,7 +8,7 @@
 	"nutmeglane.example/nutmeglane/internal/operator"
 )
 
-// benchShell puts configurations in force as the daemon does.
+// benchConfigApplier puts configurations in force in the same way as the daemon.
 type benchConfigApplier struct {
 	keeper   config.Keeper
 	operator *operator.Handler
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -4,10 +4,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// applyConfig carries out ConfigApplied: it checks the configuration, puts it
-// in force by tell and reports back to the reducer. It was checked when it was
-// accepted; one that fails here was written by a newer release, and the
-// configuration before it stays in force.
+// applyConfig executes ConfigApplied: it validates the configuration, puts it in
+// force by calling activate, and reports this to the reducer. Configurations are
+// validated when they are accepted; one that fails here was written by a newer
+// release, and the previous configuration stays in force.
 func applyConfig(p *process, effect core.Effect, activate func(core.ConfigInForce)) bool {
 	applied, ok := effect.(core.ConfigApplied)
 	if !ok {
--- a/internal/daemon/configpass.go
+++ b/internal/daemon/configpass.go
@@ -8,7 +8,8 @@
 	"nutmeglane.example/nutmeglane/internal/router"
 )
 
-// passConfig sends a loader the configuration in force, if that is above a version.
+// passConfig sends a loader the configuration in force, if its version is above the given
+// one.
 func (p *routerProcess) passConfig(loader core.HostID, above int64) {
 	var config *fleet.Config
 	p.gateway.Look(func(r *router.Router) { config = r.Config() })
@@ -21,19 +22,19 @@
 	}
 }
 
-// encodeConfig makes a configuration a message. It does not change once it is in force, so
-// that no lock is held.
+// encodeConfig encodes a configuration as a message. It needs no lock, because a
+// configuration in force is immutable.
 func (p *routerProcess) encodeConfig(config *fleet.Config) (core.ConfigPassed, bool) {
 	data, err := fleet.EncodeConfig(config)
 	if err != nil {
-		p.log.Error("configuration can't be passed on", "version", config.Version, "error", err.Error())
+		p.log.Error("configuration can't be encoded", "version", config.Version, "error", err.Error())
 		return core.ConfigPassed{}, false
 	}
 	return core.ConfigPassed{Version: config.Version, Data: data}, true
 }
 
-// spreadConfig passes a configuration that this router has just read on to all others, where
-// they are so many that their own reads would cost more.
+// spreadConfig sends a configuration that this router has just read to all other routers, by
+// way of loaders. In small fleets, where the routers' own reads cost less, it does nothing.
 func (p *routerProcess) spreadConfig(config *fleet.Config) {
 	parts, relays := 1, []core.HostID(nil)
 	p.gateway.Look(func(r *router.Router) {
@@ -53,11 +54,11 @@
 	}
 }
 
-// takeConfig puts a configuration in force that another router has read.
+// applyPassedConfig puts a configuration in force that another router has read.
 func (p *routerProcess) applyPassedConfig(passed core.ConfigPassed) {
 	config, err := fleet.DecodeConfig(passed.Data)
 	if err != nil || config.Version != passed.Version {
-		p.log.Error("passed configuration can't be read and is left out", "version", passed.Version, slog.Any("error", err))
+		p.log.Error("configuration from another router can't be decoded; ignored", "version", passed.Version, slog.Any("error", err))
 		return
 	}
 	p.log.Info("configuration heard of another router", "version", config.Version)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -21,7 +21,7 @@
 	"nutmeglane.example/nutmeglane/internal/wire"
 )
 
-// The metrics of the shell.
+// Counters that are incremented outside of the reducers.
 const (
 	countKVCalls   core.Counter = "kv_calls_total"
 	countHostReads core.Counter = "host_list_reads_total"
@@ -34,16 +34,17 @@
 	{Name: countBadConfig, Help: "Configuration documents that could not be put in force."},
 }, front.Counters...)
 
-// watchedPrefixes are what an entry watches in the KV service. Chunks of the
-// configuration are read by their hash instead.
+// watchedPrefixes are the key prefixes that an entry watches in the KV service.
+// Chunks of the configuration are read by their hash instead.
 var watchedPrefixes = []string{core.KeySlotsPrefix, core.KeyRosterPrefix, core.KeySteward, core.KeyConfigHead}
 
-// Addresses are the listeners of a running process.
+// Addresses are the addresses of a running process's listeners; nil if it has none of
+// that kind.
 type Addresses struct {
 	Callers, Operators, Peers net.Addr
 }
 
-// Entry is an entry process, ready to run.
+// Entry is an entry process that is ready to run.
 type Entry struct {
 	*process
 	Addresses Addresses
@@ -114,7 +115,7 @@
 	e.serve(operators, server, certificates.operators)
 }
 
-// entryCerts are the certificates of an entry; nil where it uses none.
+// entryCerts are the certificates of an entry; nil for connections without TLS.
 type entryCerts struct {
 	callers, operators, peers *certs.Source
 }
@@ -130,7 +131,7 @@
 	return loaded, err
 }
 
-// addPlatform starts the readers of the KV service and the host list.
+// addPlatform starts the clients of the KV service and the host list, and the evictor.
 func (e *Entry) addPlatform() error {
 	client, err := kv.NewClient(e.settings.KV.URL, kv.ClientOptions{
 		CallTimeout: e.settings.KV.Timeout,
@@ -163,7 +164,7 @@
 	return ok
 }
 
-// Run serves until ctx ends and the graceful shutdown is over.
+// Run serves until ctx ends and the graceful shutdown is complete.
 func (e *Entry) Run(ctx context.Context) error {
 	e.logger.Info("entry started", "callers", e.Addresses.Callers.String(), "operators", e.Addresses.Operators.String())
 	return e.run(ctx, core.Stop{Limit: e.settings.StopLimit, Delay: e.settings.Callers.StopDelay})
@@ -181,7 +182,7 @@
 	})
 }
 
-// closeNode ends a node's connections in an orderly way.
+// closeNode returns a function that closes a node's connections gracefully.
 func closeNode(node *wire.Node) func() {
 	return func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
--- a/internal/daemon/gauges.go
+++ b/internal/daemon/gauges.go
@@ -13,12 +13,13 @@
 // gauge is a value read from the reducer's state when metrics are collected.
 type gauge struct {
 	desc *prometheus.Desc
-	// read returns false if the state is not that of the gauge's role.
+	// read returns false if the dump has no state for the gauge, as in a
+	// process of another role.
 	read func(dump map[string]any) (float64, bool)
 }
 
-// gauges implements prometheus.Collector with one dump for all values, so that
-// they belong to one moment.
+// gauges implements prometheus.Collector. It reads all values from one dump, so
+// that they are consistent.
 type gauges struct {
 	dump func() map[string]any
 }
@@ -30,8 +31,8 @@
 	}
 }
 
-// Collect implements prometheus.Collector. After the end of the loop there is
-// no state and no value.
+// Collect implements prometheus.Collector. After the reducer's loop has ended
+// there is no state, and it returns no values.
 func (g gauges) Collect(out chan<- prometheus.Metric) {
 	dump := g.dump()
 	for _, each := range allGauges {
@@ -41,7 +42,7 @@
 	}
 }
 
-// of makes a gauge that reads one part's state.
+// newGauge returns a gauge that reads the state of one part of the reducer.
 func newGauge[T any](part, name, help string, read func(T) float64) gauge {
 	return gauge{
 		desc: prometheus.NewDesc("nutmeglane_"+name, help, nil, nil),
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -17,8 +17,9 @@
 	"nutmeglane.example/nutmeglane/platform"
 )
 
-// engineTimeout bounds a report or order. The engine is on the same host and
-// answers within a ms; orders whose answer is lost count as unknown after it.
+// engineTimeout limits a call to the engine for a report or an order. The engine
+// is on the same host and answers within 1 ms. After the timeout the outcome of an
+// order is treated as unknown.
 const engineTimeout = 400 * time.Millisecond
 
 // loaderProcess is a running loader.
@@ -27,7 +28,7 @@
 	settings *settings.Loader
 	links    *wire.Node
 	engine   *platform.EngineClient
-	// calls counts the calls to the engine that are under way.
+	// calls counts the calls to the engine that are in progress.
 	calls sync.WaitGroup
 
 	mu     sync.Mutex
@@ -80,8 +81,8 @@
 	case <-ctx.Done():
 	}
 	p.log.Info("stopping")
-	// An order under way is waited for: its answer is the next loader's only
-	// in the engine's report.
+	// Waits for orders in progress: the next loader would learn of their results
+	// only from the engine's report.
 	p.calls.Wait()
 	closeNode(p.links)()
 	return nil
@@ -95,7 +96,7 @@
 	}
 }
 
-// do carries out an effect. It holds p.mu and never blocks.
+// execute executes an effect without blocking. The caller holds p.mu.
 func (p *loaderProcess) execute(effect loader.Effect) {
 	switch e := effect.(type) {
 	case loader.ReadReport:
@@ -131,7 +132,7 @@
 	}
 }
 
-// fromPeer feeds what routers say to the reducer.
+// handlePeerEvent passes events and messages of routers to the reducer.
 func (p *loaderProcess) handlePeerEvent(event core.Event) {
 	switch e := event.(type) {
 	case core.PeerUp:
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -22,37 +22,41 @@
 )
 
 const (
-	// collectAt is the growth of the heap, in percent, that starts a garbage
-	// collection. Half of Go's default: these processes are priced by their
-	// memory, and allocate little.
+	// gcPercent is the growth of the heap, in percent, that starts a garbage
+	// collection. It is half of Go's default: the memory of these processes
+	// costs money, and they allocate little.
 	gcPercent = 50
-	// memoryShare of the limit is where the collector works harder; the rest
-	// is for what it does not count.
+	// memoryLimitRatio is the garbage collector's memory limit as a fraction of
+	// the process's limit. The rest is for memory that the collector does not
+	// count.
 	memoryLimitRatio = 0.8
-	// peerPing is the time between pings. Where something is waited for, words come more
-	// often and show earlier that a connection is silent.
+	// peerPingInterval is the time between pings. While a process waits for something,
+	// other messages are more frequent and reveal a dead connection earlier.
 	peerPingInterval = 5 * time.Second
-	// peerPingRate bounds the pings per second of a process, each some 20 us: with more
-	// than 500 peers the time between pings grows.
+	// maxPeerPingRate limits the pings per second of a process, each of which costs
+	// about 20 us. With more than 500 peers the interval between pings grows.
 	maxPeerPingRate = 100
-	// peerDial bounds a dial of a loader.
+	// peerDialTimeout limits dialling a loader.
 	peerDialTimeout = time.Second
-	// settingsPoll is the time between two looks at the settings file, which
-	// may change without a signal.
+	// settingsPollInterval is the interval between checks of the settings file,
+	// which may change without a signal.
 	settingsPollInterval = 2 * time.Second
-	// logLimit bounds writing the last log lines.
+	// logFlushTimeout limits writing the last log lines.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
-// nodeProcess is what routers and loaders have in common.
+// nodeProcess contains what routers and loaders have in common.
 type nodeProcess struct {
 	settings *settings.Node
 	ring     *telemetry.Ring
-	// log takes lines about the process, requests those about single requests.
+	// log is for messages about the process, requests for those about single
+	// requests.
 	log, requests *slog.Logger
 	metrics       *telemetry.Metrics
-	failed        chan error
-	// readAt is when the settings file that was read had been changed.
+	// failed receives the error of a listener that ended early.
+	failed chan error
+	// settingsModTime is the modification time of the settings file when it was
+	// read at startup.
 	settingsModTime time.Time
 }
 
@@ -74,7 +78,7 @@
 	return p, err
 }
 
-// serve runs an HTTP server until it is closed.
+// serve opens a listener and starts an HTTP server on it.
 func (p *nodeProcess) serve(address netip.AddrPort, server *http.Server) error {
 	l, err := listen(address)
 	if err != nil {
@@ -86,7 +90,7 @@
 
 func (p *nodeProcess) serveOn(l net.Listener, server *http.Server) {
 	if server.ErrorLog == nil {
-		// Broken connections of callers are many and change no state.
+		// Failed connections of callers are frequent and change no state.
 		server.ErrorLog = slog.NewLogLogger(p.log.Handler(), slog.LevelDebug)
 	}
 	go func() {
@@ -96,7 +100,8 @@
 	}()
 }
 
-// serveOperators serves metrics, the state dump and what mount adds, if it is not nil.
+// serveOperators serves metrics, the state dump and the handlers that mount registers. mount
+// may be nil.
 func (p *nodeProcess) serveOperators(dump func() any, ready func() bool, mount func(*http.ServeMux)) error {
 	mux := http.NewServeMux()
 	mux.Handle("/", p.metrics.Handler(dump, ready))
@@ -106,8 +111,8 @@
 	return p.serve(p.settings.Operators, &http.Server{Handler: sameOrigin(mux), ReadHeaderTimeout: shutdownTimeout})
 }
 
-// links returns the node's connections to peers. Events reach post from one
-// goroutine, in order.
+// newLinks returns the process's connections to peers. It passes events to post in
+// order, from a single goroutine.
 func (p *nodeProcess) newLinks(post func(core.Event)) *wire.Node {
 	put := queueEvents(post)
 	return wire.New(wire.Options{
@@ -117,13 +122,13 @@
 	}, put)
 }
 
-// pump returns a function that hands events to post, from a goroutine of its
-// own, in order. It never blocks.
+// queueEvents returns a function that queues an event for post without blocking. A
+// separate goroutine passes the events to post in order.
 //
-// It guards against a deadlock: the node hands over events under its lock, and
-// post, which holds the reducer's lock, sends messages through the node. With a
-// bounded queue a process that was frozen for some seconds would wake up to more
-// events than it holds, and each side would wait for the other for good.
+// The queue is unbounded to prevent a deadlock: the node delivers events while it
+// holds its lock, and post, which holds the reducer's lock, sends messages through
+// the node. A process that was suspended for some seconds may receive more events
+// than a bounded queue holds; each side would then wait for the other forever.
 func queueEvents(post func(core.Event)) func(core.Event) {
 	queue := runtime.NewQueue()
 	go func() {
@@ -166,12 +171,12 @@
 func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
-		return time.Time{} // a file that is gone is read, and reported, on reload
+		return time.Time{} // reload reports a missing file
 	}
 	return info.ModTime()
 }
 
-// stopped logs the end of the process and writes the last lines.
+// logStopped logs the end of the process and flushes the log.
 func (p *nodeProcess) logStopped(cause error) {
 	if cause != nil {
 		p.log.Error("stopped", "error", cause.Error())
--- a/internal/daemon/node_test.go
+++ b/internal/daemon/node_test.go
@@ -6,10 +6,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// A process wakes up after some seconds of being frozen, to hundreds of messages
-// of its peers, while its reducer is sending one. The connections' lock is held
-// while events are handed over, and sending needs it: were handing over to wait
-// for the reducer, both would wait for good, and no caller would be served.
+// Guards against a deadlock after which no caller is served. A process that was
+// suspended for some seconds receives hundreds of messages from its peers while its
+// reducer sends one. Events are delivered under the connections' lock, which sending
+// needs as well, so the delivery must not wait for the reducer.
 func TestQueueEventsDoesNotBlock(t *testing.T) {
 	const events = 10_000
 	release, done := make(chan struct{}), make(chan struct{})
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// notePause is the pause after a call that failed: a store that is away is not
-	// asked for more than readers do.
+	// noteRetryDelay is the delay after a failed call, so that an unreachable store
+	// gets no more calls for notes than from readers.
 	noteRetryDelay = time.Second
-	// maxNotes bounds what waits for a store that is away, at up to some KB each. The
-	// oldest yield.
+	// maxPendingNotes limits the notes that are pending while the store is
+	// unreachable; each has up to some KB. The oldest are dropped first.
 	maxPendingNotes = 256
 )
 
-// noteStore is the part of the platform's store that keeps notes.
+// noteStore is the part of the platform's store API that stores notes.
 type noteStore interface {
 	KeepNote(ctx context.Context, name string, value []byte, lasts time.Duration) error
 }
 
-// noteKeeper writes a router's notes to the platform's store, one after the other, and
-// tries each until it is written.
+// noteWriter writes a router's notes to the platform's store, one after the other, and
+// retries each until it is written, replaced by a newer one of its name, or dropped.
 type noteWriter struct {
 	store noteStore
 	log   *slog.Logger
 	wake  chan struct{}
 
 	mu sync.Mutex
-	// waiting are oldest first, one a name.
+	// pending contains at most one note per name, oldest first.
 	pending []router.Publish
 }
 
@@ -43,7 +43,7 @@
 	return &noteWriter{store: store, log: log, wake: make(chan struct{}, 1)}
 }
 
-// put takes a note. It never blocks.
+// put queues a note without blocking. It replaces a pending note of the same name.
 func (k *noteWriter) put(note router.Publish) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -62,12 +62,12 @@
 	}
 }
 
-// find returns the place of a note that waits, -1 without one.
+// indexOf returns the index of the pending note with a name, or -1.
 func (k *noteWriter) indexOf(name string) int {
 	return slices.IndexFunc(k.pending, func(other router.Publish) bool { return other.Name == name })
 }
 
-// run writes until ctx ends.
+// run writes pending notes until ctx ends.
 func (k *noteWriter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		note, ok := k.take()
@@ -99,7 +99,7 @@
 	return note, true
 }
 
-// putBack lets a note be tried again, unless a newer one of its name has come.
+// requeue puts a note back to be retried, unless a newer one of its name is pending.
 func (k *noteWriter) requeue(note router.Publish) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,6 +116,7 @@
 	return k.store.KeepNote(ctx, note.Name, value, poison.Keep)
 }
 
+// sleep returns after a duration, or when ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -123,19 +124,19 @@
 	}
 }
 
-// decodeNotes returns what notes tell of poison requests. One that can't be decoded is
-// logged and left out.
+// decodeNotes returns the news of poison requests that notes contain. Notes that can't be
+// decoded are logged and ignored.
 func decodeNotes(notes [][]byte, log *slog.Logger) core.PoisonNews {
 	var all core.PoisonNews
 	for _, note := range notes {
 		message, err := core.DecodeMessage(note)
 		if err != nil {
-			log.Error("note can't be read and is left out", "error", err.Error())
+			log.Error("note can't be decoded; ignored", "error", err.Error())
 			continue
 		}
 		news, ok := message.(core.PoisonNews)
 		if !ok {
-			log.Error("note of another kind is left out", "kind", fmt.Sprintf("%T", message))
+			log.Error("note contains an unexpected message type; ignored", "kind", fmt.Sprintf("%T", message))
 			continue
 		}
 		all.Ends = append(all.Ends, news.Ends...)
--- a/internal/daemon/notes_test.go
+++ b/internal/daemon/notes_test.go
@@ -13,7 +13,7 @@
 	"nutmeglane.example/nutmeglane/internal/router"
 )
 
-// flakyStore fails some calls and hands over what was kept.
+// flakyStore fails the first calls and sends each stored note to a channel.
 type flakyStore struct {
 	fails int
 	kept  chan keptNote
@@ -37,8 +37,8 @@
 	return core.PoisonNews{Cleared: []core.Fingerprint{f}}
 }
 
-// The store is away when a note is to be kept. It is kept once the store is back, and
-// of two under one name the newer one only.
+// The store is unreachable when a note is to be stored. The note is stored once the store is
+// available again; of two notes with the same name only the newer one is.
 func TestNotesAreRetriedAndReplaced(t *testing.T) {
 	store := &flakyStore{fails: 1, kept: make(chan keptNote)}
 	k := newNoteWriter(store, slog.New(slog.DiscardHandler))
@@ -52,29 +52,30 @@
 		kept := <-store.kept
 		news := decodeNotes([][]byte{kept.value}, slog.New(slog.DiscardHandler))
 		if len(news.Cleared) != 1 || news.Cleared[0] != want {
-			t.Errorf("kept %+v under %s, want %s", news, kept.name, want)
+			t.Errorf("stored %+v under %s, want %s", news, kept.name, want)
 		}
 	}
 }
 
-// The store stays away while servers end by the hundred. What waits is bounded.
+// Guards against unbounded memory: the store stays unreachable while hundreds of servers
+// end, each of which causes a note.
 func TestPendingNotesAreBounded(t *testing.T) {
 	k := newNoteWriter(&flakyStore{}, slog.New(slog.DiscardHandler))
 	for i := range 2 * maxPendingNotes {
 		k.put(router.Publish{Name: fmt.Sprint(i)})
 	}
 	if len(k.pending) != maxPendingNotes || k.pending[0].Name != fmt.Sprint(maxPendingNotes) {
-		t.Errorf("%d wait, the first is %s", len(k.pending), k.pending[0].Name)
+		t.Errorf("%d pending, the first is %s", len(k.pending), k.pending[0].Name)
 	}
 }
 
-// Another program keeps something under the same prefix. It tells nothing.
+// Another program stores values under the same prefix. They must be ignored.
 func TestForeignNotesAreIgnored(t *testing.T) {
 	note, err := core.EncodeMessage(core.Counts{Running: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if news := decodeNotes([][]byte{[]byte("x"), nil, note}, slog.New(slog.DiscardHandler)); len(news.Ends)+len(news.Cleared) != 0 {
-		t.Errorf("told %+v", news)
+		t.Errorf("decoded %+v, want nothing", news)
 	}
 }
--- a/internal/daemon/operating_test.go
+++ b/internal/daemon/operating_test.go
@@ -27,7 +27,7 @@
 	return string(data)
 }
 
-// An alarm on a metric that was renamed never rings.
+// Guards against alerts that never fire because their metric was renamed.
 func TestOperationsPageNamesExistingMetrics(t *testing.T) {
 	known := map[string]bool{"nutmeglane_metric_updates_dropped_total": true}
 	for _, def := range slices.Concat(Counters(), processCounters, router.Counters, loader.Counters) {
@@ -52,12 +52,12 @@
 	}
 	for _, name := range named {
 		if !known[name] {
-			t.Errorf("%s names %s, which no process has", operatingPage, name)
+			t.Errorf("%s names the metric %s, which no process exports", operatingPage, name)
 		}
 	}
 }
 
-// TestSettingsAreListed compares the page's table with the settings' types.
+// Compares the table of settings on the page with the settings' types.
 func TestOperationsPageListsAllSettings(t *testing.T) {
 	fields := map[string]bool{}
 	for _, s := range []any{settings.Entry{}, settings.Agent{}, settings.Router{}, settings.Loader{}} {
@@ -66,12 +66,12 @@
 	row := regexp.MustCompile("(?m)^\\| `([a-zA-Z.]+)` \\|")
 	for _, match := range row.FindAllStringSubmatch(operatingText(t), -1) {
 		if !fields[match[1]] {
-			t.Errorf("%s lists %s, which is no field", operatingPage, match[1])
+			t.Errorf("%s lists %s, which is not a setting", operatingPage, match[1])
 		}
 		delete(fields, match[1])
 	}
 	for field := range fields {
-		t.Errorf("%s lacks %s", operatingPage, field)
+		t.Errorf("%s does not list %s", operatingPage, field)
 	}
 }
 
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -14,12 +14,12 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// openPaths need no token: the balancer and the metrics collector read them,
-// and they show no configuration.
+// openPaths need no token: the load balancer and the metrics collector read them,
+// and they reveal no configuration.
 var openPaths = []string{"/metrics", "/healthz", "/readyz"}
 
-// operatorsHandler serves the operators' address of both roles. Everything but
-// openPaths is behind the token.
+// operatorsHandler serves the operators' address of an entry or agent. All paths but
+// openPaths require the token.
 func (p *process) operatorsHandler(token string, extra func() map[string]any, mount func(*http.ServeMux)) http.Handler {
 	telemetry := p.metrics.Handler(p.dumpState(extra), p.ready.Load)
 	guarded := http.NewServeMux()
@@ -37,18 +37,18 @@
 	return mux
 }
 
-// sameOrigin guards against forged requests: a browser that has once shown the
-// status page sends its Basic credentials along with whatever another site has
-// it post here, such as an order to drain. Browsers mark such requests, and no
-// other program sends the mark.
+// sameOrigin prevents cross-site request forgery: a browser that has shown the
+// status page sends its Basic credentials with every request that another site
+// makes it send here, such as a request to drain. Browsers mark cross-origin
+// requests by headers that other programs do not send.
 func sameOrigin(next http.Handler) http.Handler {
 	protection := http.NewCrossOriginProtection()
 	protection.SetDenyHandler(http.HandlerFunc(operator.CrossOrigin))
 	return protection.Handler(next)
 }
 
-// drain is an operator's order to stop gracefully, which may come more than
-// once.
+// drainSignal signals that an operator has requested a graceful shutdown, which may
+// happen more than once.
 type drainSignal struct {
 	once      sync.Once
 	requested chan struct{}
@@ -56,14 +56,14 @@
 
 func (d *drainSignal) request() { d.once.Do(func() { close(d.requested) }) }
 
-// serveDrain begins the same graceful shutdown as SIGTERM does.
+// serveDrain starts the same graceful shutdown as SIGTERM.
 func (p *process) serveDrain(w http.ResponseWriter, _ *http.Request) {
 	p.drain.request()
 	operator.WriteDraining(w, string(p.blueprint.Host))
 }
 
-// loadCerts reads the files of one listener or dialler. The source is nil if
-// the settings name none.
+// loadCerts reads the certificate files of a listener or dialler. The source is nil
+// if the settings name none.
 func loadCerts(field string, t settings.TLS, logger *slog.Logger) (*certs.Source, error) {
 	source, err := certs.Load(certs.Files(t), logger)
 	return source, errors.Wrapf(err, "code %d: settings %s", code.BadSettings, field)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -25,13 +25,17 @@
 	"nutmeglane.example/nutmeglane/internal/telemetry"
 )
 
-// drainTime bounds closing listeners and connections once the reducer is done.
+// shutdownTimeout limits closing listeners and connections once the reducer has
+// exited. It is also the limit for reading request headers on all listeners but the
+// callers'.
 const shutdownTimeout = 3 * time.Second
 
-// recordMode keeps a recorded run, which holds request text, to its owner.
+// recordFileMode restricts a recorded run, which contains request contents, to its
+// owner.
 const recordFileMode = 0o600
 
-// process is what both roles have: the loop, metrics, logger and listeners.
+// process contains what entries and agents have in common: the loop, metrics, logger
+// and listeners.
 type process struct {
 	blueprint Blueprint
 	loop      *runtime.Loop
@@ -41,18 +45,18 @@
 	record    *os.File
 	recorder  *runtime.Recorder
 	servers   []*http.Server
-	// callers is the callers' server, if the process has one, and callerConns are its
-	// connections.
+	// callers is the callers' server and callerConns its connections; nil in processes
+	// without one.
 	callers     *http.Server
 	callerConns *callerConns
 	keeper      config.Keeper
 	drain       drainSignal
 	// failed receives the error of a listener that ended early.
 	failed chan error
-	// drained, if not nil, runs when the reducer is done, before the
+	// onDrained, if not nil, is called when the reducer has exited, before the
 	// listeners close.
 	onDrained func()
-	// closers run in reverse order when the process ends.
+	// closers are called in reverse order when the process ends.
 	closers []func()
 }
 
@@ -79,7 +83,7 @@
 	return p, nil
 }
 
-// executorFunc makes a function an executor.
+// executorFunc adapts a function to runtime.Executor.
 type executorFunc func(core.Effect) bool
 
 // Do implements runtime.Executor.
@@ -90,7 +94,7 @@
 	if ok {
 		p.ready.Store(e.Ready)
 	}
-	return false // others may want it too
+	return false // other executors handle the effect, too
 }
 
 func (p *process) openRecord(file string) error {
@@ -99,34 +103,34 @@
 	}
 	f, err := os.OpenFile(file, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, recordFileMode)
 	if err != nil {
-		return errors.Wrap(err, "open record")
+		return errors.Wrap(err, "open record file")
 	}
 	p.record = f
 	p.recorder, err = runtime.NewRecorder(f, p.blueprint)
 	p.closers = append(p.closers, func() {
 		if err := p.recorder.Err(); err != nil {
-			p.logger.Error("record is incomplete", "error", err.Error())
+			p.logger.Error("recorded run is incomplete", "error", err.Error())
 		}
 		_ = f.Close()
 	})
 	return err
 }
 
-// listen opens a listener and returns its address, with the port that was
-// picked if the settings said 0.
+// listen opens a TCP listener. For port 0 the system chooses a free port.
 func listen(address netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", address.String())
 	return l, errors.Wrapf(err, "listen on %s", address)
 }
 
-// serve runs a server on a listener, with TLS if there is a certificate, until
-// the process closes.
+// serve starts a server on a listener, with TLS if source is not nil. The server is
+// shut down when the process ends.
 func (p *process) serve(l net.Listener, server *http.Server, source *certs.Source) {
 	p.servers = append(p.servers, server)
 	p.serveOn(l, server, source)
 }
 
-// serveCallers is serve for callers, who lose no request when the process stops.
+// serveCallers is like serve, but for the callers' server, which must not lose requests
+// when the process stops.
 func (p *process) serveCallers(l net.Listener, server *http.Server, source *certs.Source) {
 	p.callers, p.callerConns = server, newCallerConns()
 	server.ConnState = p.callerConns.state
@@ -135,7 +139,7 @@
 
 func (p *process) serveOn(l net.Listener, server *http.Server, source *certs.Source) {
 	if server.ErrorLog == nil {
-		// Handshakes that fail are many and change no state.
+		// Failed handshakes are frequent and change no state.
 		server.ErrorLog = slog.NewLogLogger(p.logger.Handler(), slog.LevelDebug)
 	}
 	if source != nil {
@@ -148,10 +152,9 @@
 	}()
 }
 
-// run steps the reducer until it exits. When ctx ends or an operator drains
-// the process, it asks for a graceful
-// shutdown as stop says; the reducer exits when nothing is in flight, at the
-// latest after the limit.
+// run runs the reducer until it exits. When ctx ends or an operator drains the
+// process, it posts stop to request a graceful shutdown; the reducer exits when no
+// request is in flight, or at the latest after the stop limit.
 func (p *process) run(ctx context.Context, stop core.Stop) error {
 	loopCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -159,7 +162,8 @@
 	go func() { done <- p.loop.Run(loopCtx) }()
 	go p.warnOnHangup(loopCtx)
 	defer p.close()
-	// What the process says last is taken as its last word: nothing may begin after it.
+	// halt ends the loop before run returns: nothing may start after the process has
+	// logged its end.
 	halt := func(err error) error {
 		cancel()
 		<-done
@@ -183,14 +187,14 @@
 	}
 }
 
-// logHangups tells operators that SIGHUP changes nothing here.
+// warnOnHangup logs that SIGHUP has no effect in this role.
 func (p *process) warnOnHangup(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangup.C():
-			p.logger.Warn("SIGHUP changes nothing: this role reads its settings at its start only")
+			p.logger.Warn("SIGHUP ignored: this role reads its settings only at startup")
 		}
 	}
 }
@@ -213,18 +217,18 @@
 	p.logger.Info("stopped")
 }
 
-// closeCallers ends the callers' connections once they have their answers.
+// closeCallers closes the callers' connections once their requests are answered.
 func (p *process) closeCallers(ctx context.Context) {
 	if p.callers == nil {
 		return
 	}
 	if err := p.callerConns.drain(ctx); err != nil {
-		p.logger.Warn("callers' connections cut at the end of the stop", "error", err.Error())
+		p.logger.Warn("callers' connections aborted at the end of the shutdown", "error", err.Error())
 	}
 	_ = p.callers.Close()
 }
 
-// state is the answer to GET /debug/state.
+// dumpState returns a function that produces the answer to GET /debug/state.
 func (p *process) dumpState(extra func() map[string]any) func() any {
 	return func() any {
 		dump := p.loop.Dump()
@@ -243,14 +247,15 @@
 	}
 }
 
-// counter makes a function that adds one to a shell counter.
+// count adds one to a counter.
 func (p *process) count(name core.Counter, labels ...string) {
 	p.metrics.Do(core.Count{Name: name, Labels: labels, Add: 1})
 }
 
+// randomUint64 returns a random odd number, which is never 0.
 func randomUint64() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails, see crypto/rand
+	_, _ = rand.Read(b[:]) // never returns an error, see crypto/rand
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
--- a/internal/daemon/reach.go
+++ b/internal/daemon/reach.go
@@ -6,13 +6,13 @@
 	"net/url"
 )
 
-// reachableBackend returns the base URL by which other hosts reach the backend
-// server beside an agent.
+// reachableBackend returns the base URL by which other hosts reach an agent's
+// backend server, or "" if an argument is malformed.
 //
-// Failure: the settings name the backend server by a loopback address, as the
-// agent sees it. An entry that used it would talk to whatever listens on its
-// own host, and take that engine's word for this one's. Guard: a loopback or
-// unspecified address is replaced by the one that the agent advertises.
+// The agent's settings may name the backend server by a loopback address. An entry
+// that used this address would connect to its own host and treat the answers of an
+// engine there as those of the agent's engine. Therefore a loopback or unspecified
+// address is replaced by the address that the agent advertises.
 func reachableBackend(backend, advertise string) string {
 	u, err := url.Parse(backend)
 	if err != nil {
--- a/internal/daemon/reach_test.go
+++ b/internal/daemon/reach_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The settings of every agent say that its engine is at 127.0.0.1. A steward
-// on another host has to unload a model there; by that URL it would reach an
-// engine on its own host, or none.
+// Guards against a steward that unloads a model on the wrong engine. The settings of
+// every agent give its engine's address as 127.0.0.1; by that URL a steward on another
+// host would reach an engine on its own host, or none.
 func TestReachableBackend(t *testing.T) {
 	for _, c := range []struct{ backend, advertise, want string }{
 		{"http://127.0.0.1:8000", "10.1.2.3:7000", "http://10.1.2.3:8000"},
@@ -15,7 +15,7 @@
 		{"http://127.0.0.1:8000", "127.0.0.1:7000", "http://127.0.0.1:8000"},
 	} {
 		if got := reachableBackend(c.backend, c.advertise); got != c.want {
-			t.Errorf("%s beside %s: got %s, want %s", c.backend, c.advertise, got, c.want)
+			t.Errorf("backend %s of agent %s: got %s, want %s", c.backend, c.advertise, got, c.want)
 		}
 	}
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -21,26 +21,28 @@
 
 const (
 	// firstConfigWait is how long the callers' listener stays closed while no
-	// configuration is known. After that, callers are refused truthfully.
+	// configuration is known. After that, it opens and callers are refused.
 	firstConfigWait = time.Second
-	// sweepInterval is the time between two looks at idle connections.
+	// sweepInterval is the interval between checks for idle connections to
+	// backend servers.
 	sweepInterval = time.Second
-	// lagInterval is the time between two looks at the wait for the processor:
-	// long enough for some hundred samples, short against a burst of seconds.
+	// schedLatencyInterval is the interval between reads of the scheduling
+	// latency: long enough for some hundred samples, short compared to a burst of
+	// seconds.
 	schedLatencyInterval = 250 * time.Millisecond
-	// stopDelay is how long a router that stops still takes new connections
-	// while its balancer learns of it: the balancer asks once a second and
-	// takes it out after two misses.
+	// stopDelay is how long a router that stops still accepts new connections,
+	// until the load balancer has removed it: the load balancer checks readiness
+	// once a second and removes a router after two failed checks.
 	stopDelay = 2500 * time.Millisecond
-	// stopReserve is left of the stop limit for closing.
+	// stopReserve is the part of the stop limit that is reserved for closing.
 	stopReserve = 400 * time.Millisecond
-	// defaultHeaderBytes, defaultHeaderTimeout and defaultIdle apply until a
-	// configuration is known.
+	// defaultHeaderBytes, defaultHeaderTimeout and defaultIdleTimeout apply until
+	// a configuration is known.
 	defaultHeaderBytes   = 16 << 10
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
-	// idleFactor keeps connections open longer than callers reuse them, so
-	// that a request never crosses our close.
+	// idleTimeoutFactor keeps connections open for longer than callers reuse
+	// them, so that no request is sent on a connection that is being closed.
 	idleTimeoutFactor = 2
 )
 
@@ -57,7 +59,7 @@
 	conns *callerConns
 }
 
-// RunRouter runs a router until ctx ends and the graceful shutdown is over.
+// RunRouter runs a router until ctx ends and the graceful shutdown is complete.
 func RunRouter(ctx context.Context, file string, out io.Writer) error {
 	readAt := modTime(file)
 	s, err := settings.LoadRouter(file)
@@ -153,7 +155,7 @@
 
 func (p *routerProcess) readStoreNow() { p.reader.readNow() }
 
-// readiness answers the balancer.
+// readiness serves the load balancer's readiness checks.
 func (p *routerProcess) readiness() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -164,8 +166,9 @@
 	return mux
 }
 
-// stop ends the process without cutting requests: the balancer is told first,
-// then connections close after their answers, then idle ones.
+// stop stops the process without aborting requests: it first reports to the load
+// balancer that the router is not ready, later closes idle connections, and others
+// after their answers.
 func (p *routerProcess) stop() error {
 	p.log.Info("stopping", "limit", p.settings.StopLimit.String(), "requests", p.gateway.Calls())
 	p.ready.Store(false)
@@ -180,7 +183,7 @@
 		return err
 	}
 	if err := p.conns.drain(ctx); err != nil {
-		p.log.Warn("requests cut at the end of the stop limit", "requests", p.gateway.Calls(), "error", err.Error())
+		p.log.Warn("requests aborted at the end of the stop limit", "requests", p.gateway.Calls(), "error", err.Error())
 	}
 	_ = p.callers.Close()
 	return nil
@@ -196,7 +199,8 @@
 	return nil
 }
 
-// watchLag tells the reducer how long work waits for the processor.
+// reportSchedLatency periodically reports to the reducer how long goroutines wait for
+// the processor.
 func (p *routerProcess) reportSchedLatency(ctx context.Context) {
 	var waits schedLatency
 	every(ctx, schedLatencyInterval, func() { p.gateway.Step(router.CPUWaitMeasured{Wait: waits.sinceLast()}) })
@@ -216,7 +220,7 @@
 	}
 }
 
-// fromPeer feeds what loaders say to the reducer.
+// handlePeerEvent passes events and messages of loaders to the reducer.
 func (p *routerProcess) handlePeerEvent(event core.Event) {
 	switch e := event.(type) {
 	case core.PeerUp:
@@ -251,18 +255,19 @@
 	}
 }
 
-// readPause is the longest time between two looks at the store.
+// maxReadInterval is the longest time between two reads of the store.
 func maxReadInterval(bounds settings.RouterBounds) time.Duration {
 	return min(bounds.Drain, bounds.ConfigDelay) / readsPerDeadline
 }
 
-// announce tells the balancer that the router is ready.
+// setReady reports to the load balancer that the router is ready.
 func (p *routerProcess) setReady() {
 	p.ready.Store(true)
 	p.log.Info("ready")
 }
 
-// mountLift lets operators have a request sent to servers again.
+// mountLift adds the operators' call that lifts the block of a poison request, so that
+// it is sent to servers again.
 func (p *routerProcess) mountLift(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+operator.LiftPath, func(w http.ResponseWriter, r *http.Request) {
 		fingerprint, err := core.ParseFingerprint(r.FormValue("request"))
--- a/internal/daemon/schedlatency.go
+++ b/internal/daemon/schedlatency.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// schedMetric is the Go runtime's histogram of the times that goroutines were
-	// ready to run and did not.
+	// schedMetric is the Go runtime's histogram of the times that goroutines spent
+	// runnable before they ran.
 	schedMetric = "/sched/latencies:seconds"
-	// waitShare is the part of all waits that is below the one that counts: the
-	// ninth decile follows a queue and ignores single stalls.
+	// latencyQuantile is the quantile of the latencies that is reported: the ninth
+	// decile follows a queue and ignores single stalls.
 	latencyQuantile = 0.9
-	// leastWaits is the least number of waits that tell of the load.
+	// minSamples is the least number of samples that indicates the load.
 	minSamples = 20
 )
 
-// schedWaits reads how long goroutines waited for the processor.
+// schedLatency reads how long goroutines waited for the processor.
 type schedLatency struct {
 	sample [1]metrics.Sample
-	// counts of the histogram at the last look.
+	// counts contains the histogram's counts at the last call of sinceLast.
 	counts []uint64
 }
 
-// lately is the ninth decile of the waits since the last call, 0 at the first
-// call and where there were too few.
+// sinceLast returns the ninth decile of the latencies since the last call; 0 at the
+// first call and if there were too few samples.
 func (w *schedLatency) sinceLast() time.Duration {
 	w.sample[0].Name = schedMetric
 	metrics.Read(w.sample[:])
@@ -41,8 +41,8 @@
 	return wait
 }
 
-// quantileSince is the waitShare quantile of what came to a histogram since its
-// counts were as given: the upper bound of its bucket.
+// quantileSince returns the latencyQuantile of the samples that were added to a
+// histogram since it had the given counts, as the upper bound of the bucket.
 func quantileSince(histogram *metrics.Float64Histogram, counts []uint64) time.Duration {
 	total := uint64(0)
 	for i, n := range histogram.Counts {
@@ -58,10 +58,11 @@
 			return bucketDuration(histogram.Buckets[i+1], histogram.Buckets[i])
 		}
 	}
-	return 0 // not reached: all counts together are the total
+	return 0 // unreachable: the sum of all counts is total
 }
 
-// secondsOf takes the lower bound of the last bucket, which has no upper one.
+// bucketDuration returns a bucket's upper bound, or its lower bound if the upper one
+// is infinite.
 func bucketDuration(upper, lower float64) time.Duration {
 	if math.IsInf(upper, 1) {
 		upper = lower
--- a/internal/daemon/schedlatency_test.go
+++ b/internal/daemon/schedlatency_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A burst is over. The waits of its seconds must not count any more, or a router
-// would go on refusing requests that it has the time for.
+// Guards against a router that keeps refusing requests after a burst has ended: the
+// latencies of the burst must not be counted again.
 func TestQuantileSinceIgnoresOldSamples(t *testing.T) {
 	buckets := []float64{math.Inf(-1), 0.001, 0.010, 0.100, math.Inf(1)}
 	burst := []uint64{0, 0, 0, 1000}
@@ -30,10 +30,11 @@
 	}
 }
 
-// The runtime has the histogram; without it no router would ever shed load.
+// Guards against a Go runtime without the histogram, with which no router would ever shed
+// load.
 func TestRuntimeHasSchedLatency(t *testing.T) {
 	var w schedLatency
 	if got := w.sinceLast(); got != 0 || len(w.counts) == 0 {
-		t.Errorf("%v from %d buckets at the first look", got, len(w.counts))
+		t.Errorf("%v from %d buckets at the first call", got, len(w.counts))
 	}
 }
--- a/internal/daemon/storereader.go
+++ b/internal/daemon/storereader.go
@@ -19,49 +19,57 @@
 )
 
 const (
-	// storeTimeout bounds a call to the platform's store, which answers in a
-	// few ms: longer than any answer of a store that is merely slow.
+	// storeTimeout limits a call to the platform's store, which answers in a
+	// few ms. It is longer than any answer of a store that is only slow.
 	storeTimeout = time.Second
-	// readsPerBound is how often news of the store comes, at the least, within the
-	// shortest time in which a change must be in force. Two may fail or be late.
+	// readsPerDeadline is the least number of times that the store's changes are
+	// obtained within the shortest time in which a change must be in force. Two of
+	// them may fail or be late.
 	readsPerDeadline = 3
-	// configWait is how long one call waits for the first configuration. 68 routers
-	// that asked each 100 ms until there was one made a third of a day's calls.
+	// firstConfigPoll is how long one call waits for the first configuration. 68
+	// routers that polled every 100 ms until there was one caused a third of a day's
+	// calls.
 	firstConfigPoll = 2 * time.Second
-	// relays is how many loaders pass on what a router has read. One may be frozen
-	// or cut off; with two, news are late only where both are.
+	// relayCount is the number of loaders that relay the changes that a router has
+	// read. One may be suspended or unreachable; with two, changes are late only if
+	// both are.
 	relayCount = 2
-	// maxProblems bounds the faults that are remembered, some 200 bytes each.
+	// maxLoggedProblems limits the errors that are kept to avoid repeated log
+	// lines, about 200 bytes each.
 	maxLoggedProblems = 500
 )
 
-// errOldEra tells of an answer that the store gave before it went back.
-var errStaleSnapshot = errors.New("the answer is from before the store went back")
+// errStaleSnapshot is returned for a snapshot that the store sent before it was restored
+// to an earlier state.
+var errStaleSnapshot = errors.New("the snapshot is from before the store was restored")
 
-// storeReader keeps a router's view of the platform's store up to date: from its own
-// reads and from those of other routers, which loaders pass on. It reads what changed,
-// instead of having a watch wait for each change: the registry changes with every
-// heartbeat of every server, and each answer of the store is a call that counts.
+// storeReader keeps a router's view of the platform's store up to date, by its own
+// reads and by those of other routers, which loaders relay. It polls for changes
+// instead of watching them: the registry changes with every heartbeat of every server,
+// and each answer of the store counts as a call.
 type storeReader struct {
 	store   *platform.Store
 	gateway *gateway.Gateway
-	// send passes news to loaders.
+	// send sends a message to loaders.
 	send func(to []core.HostID, news core.Message)
-	// spread passes a configuration that was read on to the other routers.
+	// spreadConfig sends a configuration that was read to the other routers.
 	spreadConfig func(*fleet.Config)
 	log          *slog.Logger
-	// wake ends the wait for the next read, and look makes it due now.
+	// wake interrupts the wait for the next read, to check when it is due; readDue
+	// makes it due at once.
 	wake    chan struct{}
 	readDue atomic.Bool
-	// problems are the faults of the store's values that were logged, by key.
+	// loggedProblems maps the key of a malformed value in the store to the error
+	// that was logged for it.
 	loggedProblems map[string]string
 
-	// mu guards the reader, and is held while what was read is applied, so that
-	// news and own reads are applied in the order in which they are judged.
+	// mu guards the fields below. It is held while changes are applied, so that
+	// own and relayed changes are applied in the order in which reader accepted
+	// them.
 	mu     sync.Mutex
 	reader *registry.Reader
-	// wanted is the version of the configuration that was heard of, to be read at
-	// wantedDue.
+	// wantedVersion is the announced version of the configuration, which is to be
+	// read at wantedDue unless it is in force by then.
 	wantedVersion int64
 	wantedDue     core.Time
 }
@@ -73,7 +81,8 @@
 	}
 }
 
-// run reads until ctx ends. It calls known once the router can judge requests.
+// run reads until ctx ends. It calls known once, when the router is ready to process
+// requests.
 func (s *storeReader) run(ctx context.Context, known func()) {
 	for ctx.Err() == nil {
 		err := s.read(ctx)
@@ -95,7 +104,7 @@
 	}
 }
 
-// setPause replaces the longest time between two looks at the store.
+// setMaxInterval replaces the longest time between two reads of the store.
 func (s *storeReader) setMaxInterval(pause time.Duration) {
 	s.withLock(func() { s.reader.SetMaxInterval(pause) })
 }
@@ -125,7 +134,7 @@
 	s.wantedDue = s.reader.Due()
 }
 
-// wait returns when the next read is due. News may put that off meanwhile.
+// wait returns when the next read is due. Relayed changes may postpone it.
 func (s *storeReader) wait(ctx context.Context) {
 	for ctx.Err() == nil {
 		left := clock.Until(s.due())
@@ -142,8 +151,8 @@
 	}
 }
 
-// lookSoon makes the next read due now. It may be called from within a step of the
-// reducer, and so takes no lock.
+// readNow makes the next read due at once. It takes no lock, because it may be called
+// within a step of the reducer.
 func (s *storeReader) readNow() {
 	s.readDue.Store(true)
 	s.wakeUp()
@@ -156,7 +165,7 @@
 	}
 }
 
-// due is when the next read is.
+// due returns the time of the next read.
 func (s *storeReader) due() core.Time {
 	if s.readDue.Load() {
 		return clock.Now()
@@ -169,7 +178,7 @@
 	return s.reader.Due()
 }
 
-// read makes the call that is due.
+// read makes the call to the store that is due.
 func (s *storeReader) read(ctx context.Context) error {
 	s.readDue.Store(false)
 	revision, wanted := int64(0), int64(0)
@@ -217,13 +226,13 @@
 		s.gateway.Step(router.BackendsRead{Backends: snapshot.Backends})
 	}
 	if snapshot.Config == nil {
-		s.reader.ReadNow(clock.Now()) // by waiting for it
+		s.reader.ReadNow(clock.Now()) // the next read waits for the first configuration
 	}
 	return nil
 }
 
-// readConfig reads a configuration that another router has seen. A version that is
-// not there after all is not asked for again.
+// readConfig reads a configuration that was announced. If the store does not have that
+// version, it is not requested again.
 func (s *storeReader) readConfig(ctx context.Context, wanted int64) error {
 	config, err := s.store.Config(ctx)
 	if err != nil {
@@ -266,21 +275,23 @@
 	return nil
 }
 
-// countReaders tells the reader how many routers read the store. The caller holds s.mu.
+// updateReaderCount passes the number of routers that read the store to the reader. The
+// caller holds s.mu.
 func (s *storeReader) updateReaderCount() {
 	s.gateway.Look(func(r *router.Router) { s.reader.SetReaders(r.Routers()) })
 }
 
-// confirm tells the reducer that what it has was the newest when a read began, unless a
-// newer version was heard of. The caller holds s.mu.
+// confirmConfig reports to the reducer that its configuration was the newest when a read
+// began, unless a newer version was announced. The caller holds s.mu.
 func (s *storeReader) confirmConfig(begun core.Time) {
 	if version := s.configVersion(); version > 0 && s.wantedVersion <= version {
 		s.gateway.Step(router.ConfigConfirmed{AsOf: begun})
 	}
 }
 
-// passOn tells the other routers, before the changes are applied here: what is told is
-// what differs from what was known.
+// relayChanges sends changes to the other routers. It must be called before the changes
+// are applied here: of the written values, only those that differ from the known ones are
+// sent.
 func (s *storeReader) relayChanges(from int64, changes platform.Changes, poison core.PoisonNews) {
 	news := core.RegistryNews{From: from, To: changes.At.Revision, Era: changes.At.Era, Poison: poison}
 	for instance := range changes.Removed {
@@ -297,7 +308,7 @@
 	s.send(to, news)
 }
 
-// hear takes in what another router has read.
+// applyPeerNews applies changes that another router has read.
 func (s *storeReader) applyPeerNews(news core.RegistryNews) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -308,14 +319,16 @@
 	s.requestConfig(news.Config)
 }
 
-// heardOf takes in that a configuration of a version is there.
+// configAnnounced records that a configuration of a version exists.
 func (s *storeReader) configAnnounced(version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestConfig(version)
 }
 
-// want has a configuration read, and asked for if that fails. The caller holds s.mu.
+// requestConfig schedules the read of a configuration unless its version is known, and
+// reports the version to the reducer, which requests it from loaders if reads fail. The
+// caller holds s.mu.
 func (s *storeReader) requestConfig(version int64) {
 	if version <= max(s.wantedVersion, s.configVersion()) {
 		return
@@ -325,16 +338,17 @@
 	s.wakeUp()
 }
 
-// spreadWait is how long a configuration is left to be passed on. Few routers read first if
-// it is not, as with the registry's news.
+// configReadDelay returns how long the router waits for an announced configuration to be
+// relayed before it reads it itself. The delay is random, so that only a few routers read
+// if it is not relayed, as with changes of the registry.
 func (s *storeReader) configReadDelay() time.Duration {
 	wait := time.Duration(0)
 	s.gateway.Look(func(r *router.Router) { wait = r.ConfigRelayWait() })
 	return time.Duration(s.reader.DelayFraction() * float64(wait))
 }
 
-// report logs values of the platform that can't be decoded. One that is written
-// again and again is told once, until it changes.
+// logProblems logs values of the platform that can't be decoded. A value that is
+// written repeatedly is logged once, until its error changes.
 func (s *storeReader) logProblems(problems []platform.Problem) {
 	for _, problem := range problems {
 		text := problem.Err.Error()
