--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -38,7 +38,7 @@
 
 // RunLoader runs a loader until ctx ends.
 func RunLoader(ctx context.Context, file string, out io.Writer) error {
-	readAt := modTime(file)
+	modifiedAt := modTime(file)
 	s, err := settings.LoadLoader(file)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	node.settingsModTime = readAt
+	node.settingsModTime = modifiedAt
 	p := &loaderProcess{
 		nodeProcess: node, settings: s,
 		engine: platform.NewEngineClient(s.Engine.String(), s.Host, engineTimeout),
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -23,8 +23,8 @@
 
 const (
 	// gcPercent is the growth of the heap, in percent, that starts a garbage
-	// collection. It is half of Go's default: the memory of these processes
-	// costs money, and they allocate little.
+	// collection. It is half of Go's default: these processes are billed by the
+	// memory they use, and they allocate little.
 	gcPercent = 50
 	// memoryLimitRatio is the garbage collector's memory limit as a fraction of
 	// the process's limit. The rest is for memory that the collector does not
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -61,7 +61,7 @@
 
 // RunRouter runs a router until ctx ends and the graceful shutdown is complete.
 func RunRouter(ctx context.Context, file string, out io.Writer) error {
-	readAt := modTime(file)
+	modifiedAt := modTime(file)
 	s, err := settings.LoadRouter(file)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	node.settingsModTime = readAt
+	node.settingsModTime = modifiedAt
 	p := &routerProcess{nodeProcess: node, settings: s}
 	err = p.run(ctx, file)
 	p.logStopped(err)
--- a/internal/daemon/storereader.go
+++ b/internal/daemon/storereader.go
@@ -185,7 +185,7 @@
 	s.withLock(func() { revision, wanted = s.reader.Known().Revision, s.wantedVersion })
 	switch {
 	case revision == 0:
-		return s.readWhole(ctx)
+		return s.readSnapshot(ctx)
 	case !s.ready():
 		written, err := s.store.AwaitConfig(ctx, revision, firstConfigPoll)
 		if err != nil || !written {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (s *storeReader) readWhole(ctx context.Context) error {
+func (s *storeReader) readSnapshot(ctx context.Context) error {
 	begun := clock.Now()
 	snapshot, err := s.store.Snapshot(ctx)
 	if err != nil {
