--- a/internal/daemon/callerconns_test.go
+++ b/internal/daemon/callerconns_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// watchedConn is a caller's connection that tells when the server has read from it.
+// watchedConn is a caller's connection that signals each read of the server.
 type watchedConn struct {
 	*callerConn
 	reads chan struct{}
@@ -40,19 +40,19 @@
 	return watchedConn{conn.(*callerConn), l.reads}, nil
 }
 
-// watched are the events of the server's only connection: a read of bytes, and the
+// connEvents signals events of the server's only connection: a read of bytes, and the
 // end of an answer.
-type watched struct{ reads, idle chan struct{} }
+type connEvents struct{ reads, idle chan struct{} }
 
 // callerServer serves on loopback through callerConns.
-func callerServer(t *testing.T) (*callerConns, watched, net.Conn, *bufio.Reader) {
+func callerServer(t *testing.T) (*callerConns, connEvents, net.Conn, *bufio.Reader) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	conns := newCallerConns()
-	events := watched{make(chan struct{}, 16), make(chan struct{}, 16)}
+	events := connEvents{make(chan struct{}, 16), make(chan struct{}, 16)}
 	server := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("whole")) }),
 		ConnState: func(conn net.Conn, state http.ConnState) {
@@ -62,7 +62,7 @@
 			}
 		},
 	}
-	go func() { _ = server.Serve(watchedListener{conns.listen(listener), events.reads}) }()
+	go func() { _ = server.Serve(watchedListener{conns.wrap(listener), events.reads}) }()
 	t.Cleanup(func() { _ = server.Close() })
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-func readWhole(t *testing.T, reader *bufio.Reader) {
+func readAnswer(t *testing.T, reader *bufio.Reader) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -88,29 +88,28 @@
 	_ = response.Body.Close()
 }
 
-// A caller sends a further request on a kept connection just when its router
-// stops. The process has read a part of it and, short of processor time, not
-// parsed it yet when idle connections are closed: the caller saw its connection
-// close and could not know whether the request ran. With http.Server.Shutdown in
-// place of closeIdle this test fails.
-func TestRequestBeingReadIsNotCutByStop(t *testing.T) {
+// Guards against a connection that closes on a request that is being read. A router
+// that stops has read a part of the request and, for lack of processor time, not
+// parsed it when idle connections are closed; the caller can't determine whether the
+// request ran. With http.Server.Shutdown in place of closeIdle this test fails.
+func TestStopKeepsConnWithPartlyReadRequest(t *testing.T) {
 	conns, events, conn, reader := callerServer(t)
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-events.reads
-	readWhole(t, reader)
+	readAnswer(t, reader)
 	<-events.idle
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost")
 	<-events.reads
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left, wanted the one with a request", left)
+		t.Fatalf("%d connections remain open, want the one with a request", left)
 	}
 	writeText(t, conn, ": a\r\n\r\n")
-	readWhole(t, reader)
+	readAnswer(t, reader)
 }
 
-// A request has arrived in the kernel when its router stops, and no goroutine
-// has had the processor to read it. Its connection is not idle.
-func TestUnreadRequestIsNotCutByStop(t *testing.T) {
+// A request is in the kernel's receive buffer when a router stops, and no goroutine
+// has read it yet. Its connection is not idle and must not be closed.
+func TestStopKeepsConnWithUnreadRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -122,27 +121,27 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = caller.Close() }()
-	// Accepted, and read by nobody.
-	if _, err := conns.listen(listener).Accept(); err != nil {
+	// Accepts the connection without reading from it.
+	if _, err := conns.wrap(listener).Accept(); err != nil {
 		t.Fatal(err)
 	}
 	writeText(t, caller, "GET / HTTP/1.1\r\n")
 	for conn := range conns.open {
-		// Waits until bytes are there, and reads none.
-		if err := conn.raw.Read(func(uintptr) bool { return conn.unread() }); err != nil {
+		// Waits until bytes are available, and reads none.
+		if err := conn.raw.Read(func(uintptr) bool { return conn.hasUnreadData() }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left, wanted the one with a request", left)
+		t.Fatalf("%d connections remain open, want the one with a request", left)
 	}
 }
 
-// Idle connections end at a planned stop, so that the process can.
-func TestDrainEndsIdleConnections(t *testing.T) {
+// Idle connections are closed at a graceful shutdown, so that the process can exit.
+func TestDrainClosesIdleConnections(t *testing.T) {
 	conns, events, conn, reader := callerServer(t)
 	writeText(t, conn, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	readWhole(t, reader)
+	readAnswer(t, reader)
 	<-events.idle
 	if err := conns.drain(context.Background()); err != nil {
 		t.Fatal(err)
@@ -152,11 +151,12 @@
 	}
 }
 
-// A stream began before its router was told to stop, so that its head promised to
-// keep the connection. It ends while connections are drained, and the caller sends
-// its next stream on the same connection, three seconds before the stop limit: it
-// was taken, and cut. The connection must end with the first answer.
-func TestNoRequestIsTakenAfterTheLastAnswerOfADrain(t *testing.T) {
+// Guards against a stream that is accepted during the shutdown and aborted at the stop
+// limit. A first stream began before the shutdown, so its head did not close the
+// connection. It ends while connections are drained, three seconds before the stop
+// limit, and the caller sends its next stream on the same connection. The connection
+// must be closed after the first answer.
+func TestDrainClosesConnAfterItsAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 		began <- struct{}{}
 		<-end
 	})}
-	go func() { _ = server.Serve(conns.listen(listener)) }()
+	go func() { _ = server.Serve(conns.wrap(listener)) }()
 	t.Cleanup(func() { _ = server.Close() })
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -180,7 +180,7 @@
 	<-began
 	conns.draining.Store(true)
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left beside a request", left)
+		t.Fatalf("%d connections remain open, want the one with a request", left)
 	}
 	close(end)
 	reader := bufio.NewReader(conn)
@@ -189,11 +189,11 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		t.Fatalf("the answer broke off: %v", err)
+		t.Fatalf("the answer was aborted: %v", err)
 	}
-	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // may fail: the connection ends
+	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")) // may fail: the connection is being closed
 	if _, err := http.ReadResponse(reader, nil); err == nil {
-		t.Fatal("a further request was taken")
+		t.Fatal("a further request was accepted")
 	}
 }
 
@@ -219,14 +219,14 @@
 	server := &http.Server{ConnState: conns.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("whole"))
 	})}
-	gated := gatedListener{conns.listen(listener), gate}
+	gated := gatedListener{conns.wrap(listener), gate}
 	go func() { _ = server.Serve(gated) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// drainBegun begins to drain and returns once that is under way.
-func drainBegun(t *testing.T, conns *callerConns) {
+// startDrain starts to drain and returns once the draining state is set.
+func startDrain(t *testing.T, conns *callerConns) {
 	t.Helper()
 	drained := make(chan error, 1)
 	go func() { drained <- conns.drain(context.Background()) }()
@@ -240,9 +240,9 @@
 	}
 }
 
-// Guards against resets of callers whose connections wait in the kernel's queue when
-// the listener closes.
-func TestDrainTakesConnectionsThatWait(t *testing.T) {
+// Guards against resets of callers whose connections are in the kernel's accept queue
+// when the listener closes.
+func TestDrainAcceptsPendingConnections(t *testing.T) {
 	conns, gate := newCallerConns(), make(chan struct{})
 	address := serveGated(t, conns, gate)
 	var callers []net.Conn
@@ -255,16 +255,16 @@
 		writeText(t, caller, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		callers = append(callers, caller)
 	}
-	drainBegun(t, conns)
+	startDrain(t, conns)
 	close(gate)
 	for _, caller := range callers {
-		readWhole(t, bufio.NewReader(caller))
+		readAnswer(t, bufio.NewReader(caller))
 	}
 }
 
-// Guards against a reset of a caller who has just connected and whose first request is
-// on its way.
-func TestDrainWaitsForTheFirstRequest(t *testing.T) {
+// Guards against a reset of a caller that has just connected and whose first request is
+// in transit.
+func TestDrainWaitsForFirstRequest(t *testing.T) {
 	conns, gate := newCallerConns(), make(chan struct{})
 	close(gate)
 	caller, err := net.Dial("tcp", serveGated(t, conns, gate))
@@ -278,16 +278,16 @@
 		conns.mu.Unlock()
 	}
 	if left := conns.closeIdle(); left != 1 {
-		t.Fatalf("%d connections left, wanted the new one", left)
+		t.Fatalf("%d connections remain open, want the new one", left)
 	}
-	drainBegun(t, conns)
+	startDrain(t, conns)
 	writeText(t, caller, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-	readWhole(t, bufio.NewReader(caller))
+	readAnswer(t, bufio.NewReader(caller))
 }
 
-// Guards against a caller whose body is too large and who sees a reset in place of the
-// refusal: http.Server has to find a connection that can be closed by half.
-func TestCallersConnectionClosesByHalf(t *testing.T) {
+// Guards against a caller that gets a reset instead of the refusal of its too large body:
+// http.Server needs a connection that supports CloseWrite.
+func TestCallerConnHalfClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -298,16 +298,16 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = caller.Close() }()
-	accepted, err := newCallerConns().listen(listener).Accept()
+	accepted, err := newCallerConns().wrap(listener).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	half, ok := accepted.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
-		t.Fatal("the connection can't be closed by half")
+		t.Fatal("the connection can't be closed for writing only")
 	}
 	if _, err := caller.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the caller reads %v, want the end", err)
+		t.Errorf("the caller's read returned %v, want EOF", err)
 	}
 	writeText(t, caller, "rest of the body")
 	if n, err := accepted.Read(make([]byte, 32)); n == 0 || err != nil {
--- a/internal/daemon/change_bench_test.go
+++ b/internal/daemon/change_bench_test.go
@@ -15,14 +15,15 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// benchPeer is the connection between the writer and the measured agent.
-const benchPeer = "peer"
+// benchPeerID is the peer on the connection between the writer and the measured agent.
+const benchPeerID = "peer"
 
-// benchDaemon is a role's reducer with the configuration part of its shell.
+// benchDaemon is the reducer of a role, with the code that puts its configurations in
+// force.
 type benchDaemon struct {
 	b       *testing.B
 	machine *machine.Machine
-	shell   benchShell
+	applier benchConfigApplier
 	kv      map[string]core.KVValue
 	sent    []core.Message
 	done    *core.ApplyDone
@@ -38,13 +39,14 @@
 	}
 	d := &benchDaemon{b: b, machine: m, kv: kv}
 	if role == settings.RoleEntry {
-		d.shell.operator = operator.New(operator.Options{History: 64}, func(core.Event) {})
+		d.applier.operator = operator.New(operator.Options{History: 64}, func(core.Event) {})
 	}
-	d.step(core.PeerUp{Peer: benchPeer, Incarnation: 2})
+	d.step(core.PeerUp{Peer: benchPeerID, Incarnation: 2})
 	return d
 }
 
-// step feeds an event and all that it causes in the process and the KV service.
+// step passes an event to the reducer, executes its effects on the process and the KV
+// service, and continues with the events that they cause.
 func (d *benchDaemon) step(event core.Event) {
 	for events := []core.Event{event}; len(events) > 0; events = events[1:] {
 		for _, effect := range d.machine.Step(1, events[0]) {
@@ -55,7 +57,7 @@
 			case core.KVCas:
 				events = append(events, d.cas(e))
 			case core.ConfigApplied:
-				events = append(events, d.shell.apply(d.b, e))
+				events = append(events, d.applier.apply(d.b, e))
 			case core.ApplyDone:
 				d.done = &e
 			case core.Send:
@@ -86,17 +88,17 @@
 	}
 }
 
-// relay has the daemon fetch the newest revision as from a peer, whose own
-// work is left out.
-func (d *benchDaemon) relay() {
+// fetchFromPeer makes the daemon fetch the newest revision from a peer, whose own work
+// is not included.
+func (d *benchDaemon) fetchFromPeer() {
 	d.sent = nil
-	d.step(core.Received{From: benchPeer, Message: d.head()})
+	d.step(core.Received{From: benchPeerID, Message: d.head()})
 	for len(d.sent) > 0 {
 		want, _ := d.sent[0].(core.ConfigWant)
 		d.sent = d.sent[1:]
 		for _, hash := range want.Chunks {
 			chunk := core.ConfigChunk{Hash: hash, Data: d.kv[core.KeyChunkPrefix+hash].Value}
-			d.step(core.Received{From: benchPeer, Message: chunk})
+			d.step(core.Received{From: benchPeerID, Message: chunk})
 		}
 	}
 }
@@ -109,9 +111,9 @@
 	return record.Head
 }
 
-// BenchmarkConfigChange measures a change of one adapter at the entry that
-// takes the call, at another entry and at an agent, from the first event to
-// the new configuration in force.
+// BenchmarkConfigChange measures the change of one adapter, from the first event to the
+// new configuration in force: at the entry that receives the call ("taker"), at another
+// entry and at an agent.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, adapters := range []int{1000, 10_000, 42_000} {
 		resources := fleet.Declare(fleet.Declaration{Models: 130, Replicas: 48, Adapters: adapters})
@@ -129,10 +131,10 @@
 	steps := map[string]func(i int){
 		"taker": func(i int) { writer.declare(fleet.Adapter(i%900, i%130, int64(2+i))) },
 		"entry": func(int) { entry.step(kv[core.KeyConfigHead]) },
-		"agent": func(int) { agent.relay() },
+		"agent": func(int) { agent.fetchFromPeer() },
 	}
 	entry.step(kv[core.KeyConfigHead])
-	agent.relay()
+	agent.fetchFromPeer()
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.StopTimer()
@@ -145,7 +147,7 @@
 			b.StopTimer()
 		}
 	}
-	if got, want := agent.shell.revision, writer.head().Revision; got != want {
+	if got, want := agent.applier.revision, writer.head().Revision; got != want {
 		b.Fatalf("agent has revision %d in force, wanted %d", got, want)
 	}
 }
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -21,29 +21,30 @@
 	"nutmeglane.example/nutmeglane/internal/wire"
 )
 
-// The metrics of the shell.
+// Counters that are incremented outside of the reducers.
 const (
 	countKVCalls   core.Counter = "kv_calls_total"
 	countHostReads core.Counter = "host_list_reads_total"
 	countBadConfig core.Counter = "config_refused_total"
 )
 
-var shellCounters = append([]core.CounterDef{
+var processCounters = append([]core.CounterDef{
 	{Name: countKVCalls, Help: "Calls to the KV service, or of a router to the platform's store, by operation and result code.", Labels: []string{"op", "code"}},
 	{Name: countHostReads, Help: "Reads of the platform's host list by result.", Labels: []string{"result"}},
 	{Name: countBadConfig, Help: "Configuration documents that could not be put in force."},
 }, front.Counters...)
 
-// watchedPrefixes are what an entry watches in the KV service. Chunks of the
-// configuration are read by their hash instead.
+// watchedPrefixes are the key prefixes that an entry watches in the KV service.
+// Chunks of the configuration are read by their hash instead.
 var watchedPrefixes = []string{core.KeySlotsPrefix, core.KeyRosterPrefix, core.KeySteward, core.KeyConfigHead}
 
-// Addresses are the listeners of a running process.
+// Addresses are the addresses of a running process's listeners; nil if it has none of
+// that kind.
 type Addresses struct {
 	Callers, Operators, Peers net.Addr
 }
 
-// Entry is an entry process, ready to run.
+// Entry is an entry process that is ready to run.
 type Entry struct {
 	*process
 	Addresses Addresses
@@ -89,7 +90,7 @@
 		StreamWindow: s.Limits.StreamWindow, Logger: e.logger,
 		Count: func(effect core.Effect) { e.metrics.Do(effect) },
 	}, e.loop.Post)
-	e.drained = e.front.Close
+	e.onDrained = e.front.Close
 	view := func() status.View { return status.Collect(s.Host, e.loop.Dump()) }
 	e.operator = operator.New(operator.Options{View: view}, e.loop.Post)
 	wireOptions := wire.Options{
@@ -101,20 +102,20 @@
 	}
 	node := wire.New(wireOptions, e.loop.Post)
 	e.closers = append(e.closers, closeNode(node))
-	e.loop.Add(e.front, e.operator, node, executorFunc(e.apply), executorFunc(e.tellFront))
+	e.loop.Add(e.front, e.operator, node, executorFunc(e.apply), executorFunc(e.setFrontReady))
 
 	extra := func() map[string]any { return map[string]any{"connections": node.Dump()} }
 	handler := e.operatorsHandler(s.Operators.Token, extra, func(mux *http.ServeMux) {
 		mux.Handle("/apis/", e.operator)
 		mux.Handle("GET /{$}", page.Handler(e.operator.Snapshot, view))
 	})
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: drainTime}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: shutdownTimeout}
 	server.RegisterOnShutdown(e.operator.Close)
 	e.serveCallers(callers, e.front.Server(), certificates.callers)
 	e.serve(operators, server, certificates.operators)
 }
 
-// entryCerts are the certificates of an entry; nil where it uses none.
+// entryCerts are the certificates of an entry; nil for connections without TLS.
 type entryCerts struct {
 	callers, operators, peers *certs.Source
 }
@@ -130,7 +131,7 @@
 	return loaded, err
 }
 
-// addPlatform starts the readers of the KV service and the host list.
+// addPlatform starts the clients of the KV service and the host list, and the evictor.
 func (e *Entry) addPlatform() error {
 	client, err := kv.NewClient(e.settings.KV.URL, kv.ClientOptions{
 		CallTimeout: e.settings.KV.Timeout,
@@ -155,7 +156,7 @@
 	})
 }
 
-func (e *Entry) tellFront(effect core.Effect) bool {
+func (e *Entry) setFrontReady(effect core.Effect) bool {
 	ready, ok := effect.(core.Ready)
 	if ok {
 		e.front.SetReady(ready.Ready)
@@ -163,7 +164,7 @@
 	return ok
 }
 
-// Run serves until ctx ends and the graceful shutdown is over.
+// Run serves until ctx ends and the graceful shutdown is complete.
 func (e *Entry) Run(ctx context.Context) error {
 	e.logger.Info("entry started", "callers", e.Addresses.Callers.String(), "operators", e.Addresses.Operators.String())
 	return e.run(ctx, core.Stop{Limit: e.settings.StopLimit, Delay: e.settings.Callers.StopDelay})
@@ -181,10 +182,10 @@
 	})
 }
 
-// closeNode ends a node's connections in an orderly way.
+// closeNode returns a function that closes a node's connections gracefully.
 func closeNode(node *wire.Node) func() {
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = node.Close(ctx)
 	}
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -17,8 +17,9 @@
 	"nutmeglane.example/nutmeglane/platform"
 )
 
-// engineTimeout bounds a report or order. The engine is on the same host and
-// answers within a ms; orders whose answer is lost count as unknown after it.
+// engineTimeout limits a call to the engine for a report or an order. The engine
+// is on the same host and answers within 1 ms. After the timeout the outcome of an
+// order is treated as unknown.
 const engineTimeout = 400 * time.Millisecond
 
 // loaderProcess is a running loader.
@@ -27,7 +28,7 @@
 	settings *settings.Loader
 	links    *wire.Node
 	engine   *platform.EngineClient
-	// calls counts the calls to the engine that are under way.
+	// calls counts the calls to the engine that are in progress.
 	calls sync.WaitGroup
 
 	mu     sync.Mutex
@@ -37,31 +38,31 @@
 
 // RunLoader runs a loader until ctx ends.
 func RunLoader(ctx context.Context, file string, out io.Writer) error {
-	readAt := modified(file)
+	modifiedAt := modTime(file)
 	s, err := settings.LoadLoader(file)
 	if err != nil {
 		return err
 	}
-	node, err := newNodeProcess(&s.Node, out, slices.Concat(loader.Counters, shellCounters))
+	node, err := newNodeProcess(&s.Node, out, slices.Concat(loader.Counters, processCounters))
 	if err != nil {
 		return err
 	}
-	node.readAt = readAt
+	node.settingsModTime = modifiedAt
 	p := &loaderProcess{
 		nodeProcess: node, settings: s,
 		engine: platform.NewEngineClient(s.Engine.String(), s.Host, engineTimeout),
 		loader: loader.New(loader.Options{Host: core.HostID(s.Address), IdleAfter: s.IdleAfter}),
 	}
 	err = p.run(ctx, file)
-	p.stopped(err)
+	p.logStopped(err)
 	return err
 }
 
 func (p *loaderProcess) run(ctx context.Context, file string) error {
 	p.log.Info("loader starting", "engine", p.settings.Engine.String(), "peers", p.settings.Peers.String())
 	p.timer = time.AfterFunc(time.Hour, func() { p.step(loader.Tick{}) })
-	p.links = p.nodeProcess.links(p.fromPeer)
-	if err := p.serve(p.settings.Peers, &http.Server{Handler: p.links.Handler(), ReadHeaderTimeout: drainTime}); err != nil {
+	p.links = p.nodeProcess.newLinks(p.handlePeerEvent)
+	if err := p.serve(p.settings.Peers, &http.Server{Handler: p.links.Handler(), ReadHeaderTimeout: shutdownTimeout}); err != nil {
 		return err
 	}
 	if err := p.serveOperators(p.dump, func() bool { return true }, nil); err != nil {
@@ -80,8 +81,8 @@
 	case <-ctx.Done():
 	}
 	p.log.Info("stopping")
-	// An order under way is waited for: its answer is the next loader's only
-	// in the engine's report.
+	// Waits for orders in progress: the next loader would learn of their results
+	// only from the engine's report.
 	p.calls.Wait()
 	closeNode(p.links)()
 	return nil
@@ -91,12 +92,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, effect := range p.loader.Step(clock.Now(), event) {
-		p.do(effect)
+		p.execute(effect)
 	}
 }
 
-// do carries out an effect. It holds p.mu and never blocks.
-func (p *loaderProcess) do(effect loader.Effect) {
+// execute executes an effect without blocking. The caller holds p.mu.
+func (p *loaderProcess) execute(effect loader.Effect) {
 	switch e := effect.(type) {
 	case loader.ReadReport:
 		p.calls.Go(func() {
@@ -131,8 +132,8 @@
 	}
 }
 
-// fromPeer feeds what routers say to the reducer.
-func (p *loaderProcess) fromPeer(event core.Event) {
+// handlePeerEvent passes events and messages of routers to the reducer.
+func (p *loaderProcess) handlePeerEvent(event core.Event) {
 	switch e := event.(type) {
 	case core.PeerUp:
 		p.step(loader.RouterUp{Router: e.Peer})
--- a/internal/daemon/notes.go
+++ b/internal/daemon/notes.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// notePause is the pause after a call that failed: a store that is away is not
-	// asked for more than readers do.
-	notePause = time.Second
-	// maxNotes bounds what waits for a store that is away, at up to some KB each. The
-	// oldest yield.
-	maxNotes = 256
+	// noteRetryDelay is the delay after a failed call, so that an unreachable store
+	// gets no more calls for notes than from readers.
+	noteRetryDelay = time.Second
+	// maxPendingNotes limits the notes that are pending while the store is
+	// unreachable; each has up to some KB. The oldest are dropped first.
+	maxPendingNotes = 256
 )
 
-// noteStore is the part of the platform's store that keeps notes.
+// noteStore is the part of the platform's store API that stores notes.
 type noteStore interface {
 	PutNote(ctx context.Context, name string, value []byte, lasts time.Duration) error
 }
 
-// noteKeeper writes a router's notes to the platform's store, one after the other, and
-// tries each until it is written.
-type noteKeeper struct {
+// noteWriter writes a router's notes to the platform's store, one after the other, and
+// retries each until it is written, replaced by a newer one of its name, or dropped.
+type noteWriter struct {
 	store noteStore
 	log   *slog.Logger
 	wake  chan struct{}
 
 	mu sync.Mutex
-	// waiting are oldest first, one a name.
-	waiting []router.Publish
+	// pending contains at most one note per name, oldest first.
+	pending []router.Publish
 }
 
-func newNoteKeeper(store noteStore, log *slog.Logger) *noteKeeper {
-	return &noteKeeper{store: store, log: log, wake: make(chan struct{}, 1)}
+func newNoteWriter(store noteStore, log *slog.Logger) *noteWriter {
+	return &noteWriter{store: store, log: log, wake: make(chan struct{}, 1)}
 }
 
-// put takes a note. It never blocks.
-func (k *noteKeeper) put(note router.Publish) {
+// put queues a note without blocking. It replaces a pending note of the same name.
+func (k *noteWriter) put(note router.Publish) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if i := k.find(note.Name); i >= 0 {
-		k.waiting[i] = note
+	if i := k.indexOf(note.Name); i >= 0 {
+		k.pending[i] = note
 		return
 	}
-	k.waiting = append(k.waiting, note)
-	if len(k.waiting) > maxNotes {
-		k.log.Error("note dropped, as too many wait for the store", "note", k.waiting[0].Name)
-		k.waiting = k.waiting[1:]
+	k.pending = append(k.pending, note)
+	if len(k.pending) > maxPendingNotes {
+		k.log.Error("note dropped, as too many wait for the store", "note", k.pending[0].Name)
+		k.pending = k.pending[1:]
 	}
 	select {
 	case k.wake <- struct{}{}:
@@ -62,13 +62,13 @@
 	}
 }
 
-// find returns the place of a note that waits, -1 without one.
-func (k *noteKeeper) find(name string) int {
-	return slices.IndexFunc(k.waiting, func(other router.Publish) bool { return other.Name == name })
+// indexOf returns the index of the pending note with a name, or -1.
+func (k *noteWriter) indexOf(name string) int {
+	return slices.IndexFunc(k.pending, func(other router.Publish) bool { return other.Name == name })
 }
 
-// run writes until ctx ends.
-func (k *noteKeeper) run(ctx context.Context) {
+// run writes pending notes until ctx ends.
+func (k *noteWriter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		note, ok := k.take()
 		if !ok {
@@ -80,35 +80,35 @@
 		}
 		if err := k.write(ctx, note); err != nil {
 			k.log.Warn("note not written", "note", note.Name, "error", err.Error())
-			k.putBack(note)
-			pause(ctx, notePause)
+			k.requeue(note)
+			sleep(ctx, noteRetryDelay)
 			continue
 		}
 		k.log.Info("note written", "note", note.Name)
 	}
 }
 
-func (k *noteKeeper) take() (note router.Publish, ok bool) {
+func (k *noteWriter) take() (note router.Publish, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.waiting) == 0 {
+	if len(k.pending) == 0 {
 		return router.Publish{}, false
 	}
-	note = k.waiting[0]
-	k.waiting = k.waiting[1:]
+	note = k.pending[0]
+	k.pending = k.pending[1:]
 	return note, true
 }
 
-// putBack lets a note be tried again, unless a newer one of its name has come.
-func (k *noteKeeper) putBack(note router.Publish) {
+// requeue puts a note back to be retried, unless a newer one of its name is pending.
+func (k *noteWriter) requeue(note router.Publish) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.find(note.Name) < 0 {
-		k.waiting = slices.Insert(k.waiting, 0, note)
+	if k.indexOf(note.Name) < 0 {
+		k.pending = slices.Insert(k.pending, 0, note)
 	}
 }
 
-func (k *noteKeeper) write(ctx context.Context, note router.Publish) error {
+func (k *noteWriter) write(ctx context.Context, note router.Publish) error {
 	value, err := core.EncodeMessage(note.News)
 	if err != nil {
 		return err
@@ -116,26 +116,27 @@
 	return k.store.PutNote(ctx, note.Name, value, poison.Retention)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep returns after a duration, or when ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// decodeNotes returns what notes tell of poison requests. One that can't be decoded is
-// logged and left out.
+// decodeNotes returns the news of poison requests that notes contain. Notes that can't be
+// decoded are logged and ignored.
 func decodeNotes(notes [][]byte, log *slog.Logger) core.PoisonNews {
 	var all core.PoisonNews
 	for _, note := range notes {
 		message, err := core.DecodeMessage(note)
 		if err != nil {
-			log.Error("note can't be read and is left out", "error", err.Error())
+			log.Error("note can't be decoded; ignored", "error", err.Error())
 			continue
 		}
 		news, ok := message.(core.PoisonNews)
 		if !ok {
-			log.Error("note of another kind is left out", "kind", fmt.Sprintf("%T", message))
+			log.Error("note contains an unexpected message type; ignored", "kind", fmt.Sprintf("%T", message))
 			continue
 		}
 		all.Ends = append(all.Ends, news.Ends...)
--- a/internal/front/call.go
+++ b/internal/front/call.go
@@ -10,55 +10,58 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// errOverflow ends a call whose answer came faster than the window allows.
-var errOverflow = errors.New("data frames beyond twice the stream window")
+// errOverflow ends a request whose answer arrived faster than the stream window
+// allows.
+var errOverflow = errors.New("more data frames queued than twice the stream window")
 
-// call is the queue between the reducer, which must not wait, and the
-// goroutine of one request, which may wait long for a slow caller.
+// effectQueue is the queue between the reducer, which must not block, and the
+// goroutine of one request, which may block for long on a slow caller.
 //
 // The reducer keeps the number of data frames within the stream window, so the
-// queue stays short. Should it fail to, the queue does not grow with the
-// answer: at twice the window the call overflows, and its answer is broken
-// off. Twice, because an agent that resumes an answer may cut it into smaller
-// frames than those that the window was granted for.
-type call struct {
+// queue stays short. If that flow control fails, the queue is still bounded: at
+// twice the window it overflows and the answer is aborted. The factor of two
+// allows for an agent that resumes an answer and splits it into smaller frames
+// than those for which the window was granted.
+type effectQueue struct {
 	limit int
 	ready chan struct{}
 
-	mu       sync.Mutex
-	queue    []core.Effect
-	overflow bool
+	mu         sync.Mutex
+	effects    []core.Effect
+	overflowed bool
 }
 
-func newCall(window int) *call {
-	return &call{limit: 2*window + answerParts, ready: make(chan struct{}, 1)}
+func newEffectQueue(window int) *effectQueue {
+	return &effectQueue{limit: 2*window + nonDataEffects, ready: make(chan struct{}, 1)}
 }
 
-// answerParts is the number of effects of an answer beside data: head and end.
-const answerParts = 2
+// nonDataEffects is the number of effects of an answer that carry no data: head
+// and end.
+const nonDataEffects = 2
 
-func (c *call) push(effect core.Effect) {
-	c.mu.Lock()
-	if len(c.queue) >= c.limit {
-		c.overflow = true
+func (q *effectQueue) push(effect core.Effect) {
+	q.mu.Lock()
+	if len(q.effects) >= q.limit {
+		q.overflowed = true
 	}
-	if !c.overflow {
-		c.queue = append(c.queue, effect)
+	if !q.overflowed {
+		q.effects = append(q.effects, effect)
 	}
-	c.mu.Unlock()
+	q.mu.Unlock()
 	select {
-	case c.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take waits for effects and returns all there are.
-func (c *call) take(ctx context.Context) ([]core.Effect, error) {
+// take blocks until the queue is not empty and returns all queued effects. After
+// an overflow it returns the effects queued before it, then errOverflow.
+func (q *effectQueue) take(ctx context.Context) ([]core.Effect, error) {
 	for {
-		c.mu.Lock()
-		batch, overflow := c.queue, c.overflow
-		c.queue = nil
-		c.mu.Unlock()
+		q.mu.Lock()
+		batch, overflow := q.effects, q.overflowed
+		q.effects = nil
+		q.mu.Unlock()
 		switch {
 		case len(batch) > 0:
 			return batch, nil
@@ -66,69 +69,73 @@
 			return nil, errOverflow
 		}
 		select {
-		case <-c.ready:
+		case <-q.ready:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// answer writes the parts of an answer to a caller in one of the forms. An
-// error of head, data or flush ends the request.
-type answer interface {
+// answerWriter writes an answer to a caller in one format. An error of head, data
+// or flush ends the request.
+type answerWriter interface {
 	head(core.RespondHead) error
 	data(core.RespondData) error
-	// flush brings all data so far on its way to the caller.
+	// flush sends all buffered data to the caller.
 	flush() error
-	// complete tells that the caller has all before the end has come.
+	// complete reports whether the caller has the complete answer although no
+	// end has arrived.
 	complete() bool
-	// end ends the answer, whole if the code is OK, else visibly broken.
+	// end completes the answer if the code is OK; otherwise it ends it in a way
+	// that the caller can recognise as a failure.
 	end(core.RespondEnd)
 }
 
-// brokenAnswer is an error for an answer that the backend server spoiled.
-type brokenAnswer struct{ code code.Code }
+// answerError reports an invalid or oversized answer of a backend server.
+type answerError struct{ code code.Code }
 
 // Error implements error.
-func (b brokenAnswer) Error() string { return "broken answer: " + b.code.String() }
+func (b answerError) Error() string { return "invalid answer: " + b.code.String() }
 
-// relay posts a request and writes its answer until either side ends it.
-func (f *Front) relay(in *incoming, arrived core.RequestArrived, to answer) {
-	c := newCall(f.opts.StreamWindow)
+// relay posts a request to the reducer and writes its answer until it ends, fails or
+// the caller disconnects.
+func (f *Front) relay(in *incoming, arrived core.RequestArrived, to answerWriter) {
+	queue := newEffectQueue(f.opts.StreamWindow)
 	f.mu.Lock()
-	f.calls[in.id] = c
+	f.queues[in.id] = queue
 	if f.closed {
-		c.push(drained(in.id))
+		queue.push(drainingEnd(in.id))
 	}
 	f.mu.Unlock()
-	defer f.forget(in.id)
+	defer f.removeQueue(in.id)
 	f.post(arrived)
 	for {
-		batch, err := c.take(in.r.Context())
+		batch, err := queue.take(in.r.Context())
 		if err != nil {
-			f.giveUp(in, to, err)
+			f.abort(in, to, err)
 			return
 		}
-		if done := f.write(in, batch, to); done {
+		if done := f.writeBatch(in, batch, to); done {
 			return
 		}
 	}
 }
 
-func (f *Front) forget(id core.RequestID) {
+func (f *Front) removeQueue(id core.RequestID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.calls, id)
+	delete(f.queues, id)
 }
 
-// write writes a batch and reports whether the answer has ended.
-func (f *Front) write(in *incoming, batch []core.Effect, to answer) bool {
-	frames, end, err := writeParts(batch, to)
+// writeBatch writes effects and reports whether the answer has ended. It reports
+// the number of data frames written to the reducer, which extends the window.
+func (f *Front) writeBatch(in *incoming, batch []core.Effect, to answerWriter) bool {
+	frames, end, err := writeEffects(batch, to)
 	if err == nil {
 		err = to.flush()
 	}
 	if err != nil {
-		f.giveUp(in, to, err)
+		f.abort(in, to, err)
 		return true
 	}
 	if frames > 0 {
@@ -136,14 +143,14 @@
 	}
 	switch {
 	case to.complete():
-		return true // the reducer's end of it finds no call any more
+		return true // the RespondEnd that follows is ignored
 	case end != nil:
 		to.end(*end)
 	}
 	return end != nil
 }
 
-func writeParts(batch []core.Effect, to answer) (frames uint32, end *core.RespondEnd, err error) {
+func writeEffects(batch []core.Effect, to answerWriter) (frames uint32, end *core.RespondEnd, err error) {
 	for _, effect := range batch {
 		switch e := effect.(type) {
 		case core.RespondHead:
@@ -161,12 +168,12 @@
 	return frames, nil, nil
 }
 
-// giveUp ends a request whose caller went away or whose answer is broken. The
-// reducer learns of both as CallerGone, and cancels the run.
-func (f *Front) giveUp(in *incoming, to answer, err error) {
+// abort ends a request whose caller disconnected or whose answer is invalid. It
+// posts CallerGone for both, on which the reducer cancels the run.
+func (f *Front) abort(in *incoming, to answerWriter, err error) {
 	f.post(core.CallerGone{ID: in.id})
 	result := code.AnswerCut
-	var broken brokenAnswer
+	var broken answerError
 	if errors.As(err, &broken) {
 		result = broken.code
 	}
--- a/internal/front/completion.go
+++ b/internal/front/completion.go
@@ -16,9 +16,9 @@
 	maxTemperature  = 2
 )
 
-// Completion is the body of a chat completion, as far as the system reads it.
-// The body goes to the engine as it came, with all other fields.
-type Completion struct {
+// CompletionRequest holds the fields of a chat completion's body that the system
+// reads. The engine gets the original body, with all other fields.
+type CompletionRequest struct {
 	Model               string    `json:"model"`
 	Messages            []Message `json:"messages"`
 	Stream              bool      `json:"stream"`
@@ -31,12 +31,12 @@
 // Message is one message of a chat.
 type Message struct {
 	Role string `json:"role"`
-	// Content is a string, null, or an array of parts; it is not looked into.
+	// Content is a string, null, or an array of parts. Parts are not validated.
 	Content json.RawMessage `json:"content"`
 }
 
-// limit returns the number of tokens asked for, or 0.
-func (c *Completion) limit() int64 {
+// tokenLimit returns the requested maximum number of tokens, or 0 if there is none.
+func (c *CompletionRequest) tokenLimit() int64 {
 	switch {
 	case c.MaxCompletionTokens != nil:
 		return *c.MaxCompletionTokens
@@ -47,9 +47,9 @@
 	}
 }
 
-// prefixHash returns the hash by which engines name the cached prefix of the
+// prefixHash returns the hash by which engines identify the cached prefix of the
 // prompt.
-func (c *Completion) prefixHash() uint64 {
+func (c *CompletionRequest) prefixHash() uint64 {
 	contents := make([]json.RawMessage, len(c.Messages))
 	for i, m := range c.Messages {
 		contents[i] = m.Content
@@ -57,10 +57,10 @@
 	return engineapi.PrefixHash(engineapi.Prompt(contents))
 }
 
-func parseCompletion(body []byte) (*Completion, *refusal) {
-	parsed := &Completion{}
+func parseCompletion(body []byte) (*CompletionRequest, *refusal) {
+	parsed := &CompletionRequest{}
 	if err := json.Unmarshal(body, parsed); err != nil {
-		return nil, bodyRefusal(err)
+		return nil, malformedBody(err)
 	}
 	if refused := parsed.check(); refused != nil {
 		return nil, refused
@@ -68,8 +68,9 @@
 	return parsed, nil
 }
 
-// bodyRefusal names the place of a fault without quoting the body.
-func bodyRefusal(err error) *refusal {
+// malformedBody returns a refusal that gives the location of a decoding error
+// without quoting the body.
+func malformedBody(err error) *refusal {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		field := wrongType.Field
@@ -85,7 +86,7 @@
 	return &refusal{code: code.BadBody, field: "body", message: "malformed JSON"}
 }
 
-// jsonKind strips the literal that encoding/json adds to "number".
+// jsonKind removes the literal value that encoding/json appends to "number".
 func jsonKind(value string) string {
 	if len(value) >= 6 && value[:6] == "number" {
 		return "number"
@@ -97,7 +98,7 @@
 	return &refusal{code: code.BadField, field: field, message: message}
 }
 
-func (c *Completion) check() *refusal {
+func (c *CompletionRequest) check() *refusal {
 	if c.Model == "" {
 		return badField("model", "is required")
 	}
@@ -108,14 +109,14 @@
 		if m.Role == "" {
 			return badField(fmt.Sprintf("messages[%d].role", i), "is required")
 		}
-		if !contentFits(m.Content) {
+		if !isValidContent(m.Content) {
 			return badField(fmt.Sprintf("messages[%d].content", i), "want a string, null or an array of parts")
 		}
 	}
 	return c.checkNumbers()
 }
 
-func (c *Completion) checkNumbers() *refusal {
+func (c *CompletionRequest) checkNumbers() *refusal {
 	if c.MaxTokens != nil && *c.MaxTokens < 1 {
 		return badField("max_tokens", "want 1 or more")
 	}
@@ -131,7 +132,8 @@
 	return nil
 }
 
-func contentFits(content json.RawMessage) bool {
+// isValidContent reports whether content starts like a string, an array or null.
+func isValidContent(content json.RawMessage) bool {
 	if len(content) == 0 {
 		return true
 	}
@@ -142,7 +144,7 @@
 	if encoding := in.r.Header.Get("Content-Encoding"); encoding != "" && encoding != "identity" {
 		return badHeader("Content-Encoding", "want an unencoded body")
 	}
-	arrived, refused := in.begin()
+	arrived, refused := in.readRequest()
 	if refused != nil {
 		return refused
 	}
@@ -150,7 +152,7 @@
 	if refused != nil {
 		return refused
 	}
-	target, ok := in.view.target(parsed.Model)
+	target, ok := in.config.resolveTarget(parsed.Model)
 	if !ok {
 		return &refusal{code: code.UnknownModel, field: "model"}
 	}
--- a/internal/front/completion_answer.go
+++ b/internal/front/completion_answer.go
@@ -8,14 +8,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Reasons why a completion ended.
+// Values of finish_reason.
 const (
 	finishStop   = "stop"
 	finishLength = "length"
 )
 
-// meta is what the parts of a completion's answer share.
-type meta struct {
+// completionState is the state shared by both formats of a completion's answer.
+type completionState struct {
 	in      *incoming
 	model   string
 	limit   int64
@@ -24,33 +24,33 @@
 	joiner  textJoiner
 }
 
-func newCompletionAnswer(in *incoming, parsed *Completion) answer {
-	m := meta{in: in, model: parsed.Model, limit: parsed.limit(), created: in.arrived.Unix()}
+func newCompletionAnswer(in *incoming, parsed *CompletionRequest) answerWriter {
+	m := completionState{in: in, model: parsed.Model, limit: parsed.tokenLimit(), created: in.arrived.Unix()}
 	if parsed.Stream {
 		return newStreamedAnswer(m)
 	}
-	return &wholeAnswer{meta: m}
+	return &bufferedAnswer{completionState: m}
 }
 
 // head checks the engine's status. Nothing is sent to the caller before the
-// first token, so that a failure before it still gets its true status.
-func (m *meta) head(head core.RespondHead) error {
+// first token, so that an earlier failure can still set the HTTP status.
+func (m *completionState) head(head core.RespondHead) error {
 	if head.Status != http.StatusOK && head.Status != 0 {
-		return brokenAnswer{code.BackendFailed}
+		return answerError{code.BackendFailed}
 	}
 	return nil
 }
 
-func (m *meta) finishReason() string {
+func (m *completionState) finishReason() string {
 	if m.limit > 0 && m.tokens >= m.limit {
 		return finishLength
 	}
 	return finishStop
 }
 
-// appendEnvelope appends the fields that every object of an answer begins
-// with.
-func (m *meta) appendEnvelope(to []byte, object string) []byte {
+// appendEnvelope appends the fields common to all JSON objects of an answer,
+// without the closing brace.
+func (m *completionState) appendEnvelope(to []byte, object string) []byte {
 	to = append(to, `{"id":"chatcmpl-`...)
 	to = append(to, m.in.id.String()...)
 	to = append(to, `","object":"`...)
@@ -61,49 +61,50 @@
 	return appendJSONString(to, []byte(m.model))
 }
 
-// streamedAnswer writes server-sent events, a chunk for each token.
+// streamedAnswer writes an answer as server-sent events, one chunk per token.
 type streamedAnswer struct {
-	meta
-	// prefix begins each chunk, up to its delta.
+	completionState
+	// prefix is the constant beginning of each chunk, up to the delta.
 	prefix  []byte
 	pending []byte
-	begun   bool
+	started bool
 }
 
-func newStreamedAnswer(m meta) *streamedAnswer {
+func newStreamedAnswer(m completionState) *streamedAnswer {
 	prefix := m.appendEnvelope([]byte("data: "), "chat.completion.chunk")
-	return &streamedAnswer{meta: m, prefix: append(prefix, `,"choices":[{"index":0,"delta":`...)}
+	return &streamedAnswer{completionState: m, prefix: append(prefix, `,"choices":[{"index":0,"delta":`...)}
 }
 
 func (s *streamedAnswer) data(data core.RespondData) error {
-	return eachToken(data, func(token []byte) {
-		s.begin()
+	return forEachToken(data, func(token []byte) {
+		s.start()
 		s.tokens++
-		s.content(s.joiner.next(token))
+		s.appendContent(s.joiner.next(token))
 	})
 }
 
-func (s *streamedAnswer) begin() {
-	if s.begun {
+func (s *streamedAnswer) start() {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	header := s.in.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	s.in.w.WriteHeader(http.StatusOK)
-	s.chunk(`{"role":"assistant","content":""}`, "")
+	s.appendChunk(`{"role":"assistant","content":""}`, "")
 }
 
-func (s *streamedAnswer) content(text []byte) {
+func (s *streamedAnswer) appendContent(text []byte) {
 	s.pending = append(s.pending, s.prefix...)
 	s.pending = append(s.pending, `{"content":`...)
 	s.pending = appendJSONString(s.pending, text)
 	s.pending = append(s.pending, "},\"finish_reason\":null}]}\n\n"...)
 }
 
-// chunk appends a chunk with a ready delta; an empty finish means null.
-func (s *streamedAnswer) chunk(delta, finish string) {
+// appendChunk appends a chunk with an encoded delta. An empty finish is written
+// as null.
+func (s *streamedAnswer) appendChunk(delta, finish string) {
 	s.pending = append(s.pending, s.prefix...)
 	s.pending = append(s.pending, delta...)
 	s.pending = append(s.pending, `,"finish_reason":`...)
@@ -115,8 +116,8 @@
 	s.pending = append(s.pending, "}]}\n\n"...)
 }
 
-// complete implements answer: the caller waits for the end.
-func (m *meta) complete() bool { return false }
+// complete implements answerWriter. A completion is complete only at its end.
+func (m *completionState) complete() bool { return false }
 
 func (s *streamedAnswer) flush() error {
 	if len(s.pending) == 0 {
@@ -130,48 +131,48 @@
 	return s.in.control.Flush()
 }
 
-// end sends [DONE] after a whole answer only. After a failure the caller sees
-// an error event and the end of the stream, so a client that waits for [DONE]
-// can't take a cut answer for a whole one.
+// end sends [DONE] after a complete answer only. After a failure it sends an
+// error event and ends the stream, so that a client that waits for [DONE] does
+// not treat a truncated answer as complete.
 func (s *streamedAnswer) end(end core.RespondEnd) {
-	if end.Code != code.OK && !s.begun {
+	if end.Code != code.OK && !s.started {
 		s.in.writeRefusal(refusalOf(end))
 		return
 	}
-	s.begin()
+	s.start()
 	if end.Code == code.OK {
 		if rest := s.joiner.rest(); len(rest) > 0 {
-			s.content(rest)
+			s.appendContent(rest)
 		}
-		s.chunk("{}", s.finishReason())
+		s.appendChunk("{}", s.finishReason())
 		s.pending = append(s.pending, "data: [DONE]\n\n"...)
 	} else {
 		s.pending = append(s.pending, "event: error\ndata: "...)
 		s.pending = append(s.pending, refusalOf(end).body(s.in.id)...)
 		s.pending = append(s.pending, "\n\n"...)
 	}
-	_ = s.flush() // the caller is gone: there is nobody left to tell
+	_ = s.flush() // fails only if the caller has disconnected
 }
 
-// wholeAnswer holds a completion until it is whole and writes one object.
-type wholeAnswer struct {
-	meta
+// bufferedAnswer buffers a completion and writes it as one JSON object.
+type bufferedAnswer struct {
+	completionState
 	text []byte
 }
 
-func (a *wholeAnswer) data(data core.RespondData) error {
+func (a *bufferedAnswer) data(data core.RespondData) error {
 	if int64(len(a.text)+len(data.Payload)) > a.in.opts.MaxAnswerBytes {
-		return brokenAnswer{code.AnswerCut}
+		return answerError{code.AnswerCut}
 	}
-	return eachToken(data, func(token []byte) {
+	return forEachToken(data, func(token []byte) {
 		a.tokens++
 		a.text = append(a.text, token...)
 	})
 }
 
-func (a *wholeAnswer) flush() error { return nil }
+func (a *bufferedAnswer) flush() error { return nil }
 
-func (a *wholeAnswer) end(end core.RespondEnd) {
+func (a *bufferedAnswer) end(end core.RespondEnd) {
 	if end.Code != code.OK {
 		a.in.writeRefusal(refusalOf(end))
 		return
--- a/internal/front/deadline_test.go
+++ b/internal/front/deadline_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// TestSilentBody: a tablet loses its network halfway through sending a note.
-// Nothing more comes and nothing closes, and without a deadline the request
-// would wait in the entry for good.
-func TestSilentBody(t *testing.T) {
+// Guards against requests that stay in the entry forever. A caller loses its network
+// while it sends the body: no more data arrives and the connection is not closed, so
+// only a deadline ends the request.
+func TestBodyReadDeadline(t *testing.T) {
 	h := newHarness(t)
 	conn, err := net.Dial("tcp", h.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(hang))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nRequest-Timeout: 0.05\r\nContent-Length: 99\r\n\r\n{",
 		completionsPath, testKey)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -34,7 +34,7 @@
 	}
 }
 
-// deadlineRecorder notes the deadlines that a handler sets.
+// deadlineRecorder records the deadlines that a handler sets.
 type deadlineRecorder struct {
 	*httptest.ResponseRecorder
 	read, write time.Time
@@ -43,11 +43,11 @@
 func (d *deadlineRecorder) SetReadDeadline(at time.Time) error  { d.read = at; return nil }
 func (d *deadlineRecorder) SetWriteDeadline(at time.Time) error { d.write = at; return nil }
 
-// TestDeadlinesOfConnection: a caller waits 60 s for a cold start and is cut
-// off after 30 s. The deadline for reading its body still stood, and net/http,
-// which reads on to notice a closed connection, took its passing for that. The
-// deadline for writing must follow the caller's own time-out, too.
-func TestDeadlinesOfConnection(t *testing.T) {
+// Guards against a caller with a timeout of 60 s that is cut off after 30 s during a
+// cold start. If the deadline for reading the body stays set, net/http, which keeps
+// reading to detect a closed connection, treats its expiry as a disconnect. The write
+// deadline must follow the caller's timeout, too.
+func TestConnectionDeadlines(t *testing.T) {
 	w := &deadlineRecorder{ResponseRecorder: httptest.NewRecorder()}
 	r := httptest.NewRequest("POST", completionsPath, strings.NewReader(chatBody))
 	r.Header.Set("Request-Timeout", "60")
@@ -55,7 +55,7 @@
 	if w.read.IsZero() || w.write.IsZero() {
 		t.Error("no deadline while the headers are checked")
 	}
-	if _, refused := in.begin(); refused != nil {
+	if _, refused := in.readRequest(); refused != nil {
 		t.Fatal(refused)
 	}
 	if want := in.arrived.Add(time.Minute + writeGrace); !w.read.IsZero() || !w.write.Equal(want) {
--- a/internal/front/headers.go
+++ b/internal/front/headers.go
@@ -15,7 +15,7 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// Headers of requests.
+// Request headers that the system reads.
 const (
 	headerAuthorization  = "Authorization"
 	headerIdempotencyKey = "Idempotency-Key"
@@ -29,13 +29,14 @@
 	maxKeyBytes = 255
 )
 
-// callHeaders are the system's own headers of a request.
+// callHeaders holds the parsed values of the request headers that the system
+// reads, apart from Authorization.
 type callHeaders struct {
 	timeout time.Duration
 	key     string
-	// priority is empty if the caller gave none.
+	// priority is empty if the caller set none.
 	priority   api.Priority
-	repeatable bool
+	idempotent bool
 }
 
 func parseHeaders(h http.Header, opts Options) (callHeaders, *refusal) {
@@ -50,13 +51,13 @@
 	if parsed.priority, refused = parsePriority(h); refused != nil {
 		return parsed, refused
 	}
-	parsed.repeatable, refused = parseIdempotent(h)
+	parsed.idempotent, refused = parseIdempotent(h)
 	return parsed, refused
 }
 
-// single returns the one value of a header. A header given twice is refused:
-// two hops that take different ones would disagree on what was asked.
-func single(h http.Header, name string) (value string, given bool, refused *refusal) {
+// singleValue returns the value of a header that must not be repeated: two hops
+// could pick different values and treat the request differently.
+func singleValue(h http.Header, name string) (value string, given bool, refused *refusal) {
 	switch values := h.Values(name); len(values) {
 	case 0:
 		return "", false, nil
@@ -72,11 +73,11 @@
 }
 
 func parseTimeout(h http.Header, opts Options) (time.Duration, *refusal) {
-	text, given, refused := single(h, headerTimeout)
+	text, given, refused := singleValue(h, headerTimeout)
 	if refused != nil || !given {
 		return opts.DefaultTimeout, refused
 	}
-	// ParseFloat alone would take "1e3", "Inf" and "NaN".
+	// ParseFloat alone would accept "1e3", "Inf" and "NaN".
 	decimal := text != "" && strings.Trim(text, "0123456789.") == ""
 	seconds, err := strconv.ParseFloat(text, 64)
 	low, high := minTimeout.Seconds(), opts.MaxTimeout.Seconds()
@@ -88,7 +89,7 @@
 }
 
 func parseKey(h http.Header) (string, *refusal) {
-	key, given, refused := single(h, headerIdempotencyKey)
+	key, given, refused := singleValue(h, headerIdempotencyKey)
 	if refused != nil || !given {
 		return "", refused
 	}
@@ -99,10 +100,10 @@
 	return key, nil
 }
 
-// parsePriority ignores the value of the same name that browsers send, such as
-// "u=1, i" (RFC 9218): it asks for an order among one page's downloads.
+// parsePriority ignores values in the format of RFC 9218, such as "u=1, i", which
+// browsers send in the same header to order the downloads of one page.
 func parsePriority(h http.Header) (api.Priority, *refusal) {
-	text, given, refused := single(h, headerPriority)
+	text, given, refused := singleValue(h, headerPriority)
 	if refused != nil || !given {
 		return "", refused
 	}
@@ -117,7 +118,7 @@
 }
 
 func parseIdempotent(h http.Header) (bool, *refusal) {
-	text, given, refused := single(h, headerIdempotent)
+	text, given, refused := singleValue(h, headerIdempotent)
 	if refused != nil || !given {
 		return true, refused
 	}
@@ -131,25 +132,25 @@
 	}
 }
 
-// hopByHop headers concern one connection only (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// notForwarded are request headers that end here: those that the next hop's
-// client sets itself, and the system's own. The API key is the caller's secret
-// towards this system and no business of a backend server. Idempotency-Key is
-// forwarded, for services that know it.
+// notForwarded lists the request headers that are not forwarded: those that the
+// next hop's client sets itself, and those that the system reads. The API key is
+// a secret between the caller and this system and must not reach a backend
+// server. Idempotency-Key is forwarded, for services that support it.
 var notForwarded = []string{
 	"Content-Length", "Expect", "Host",
 	headerAuthorization, headerIdempotent, headerPriority, headerTimeout,
 }
 
-func forwardedRequest(h http.Header) []core.HeaderKV { return forwarded(h, notForwarded) }
+func forwardedRequestHeaders(h http.Header) []core.HeaderKV { return endToEndHeaders(h, notForwarded) }
 
-// markNonIdempotent adds the mark by which backend servers know a request that
-// may run once only.
+// markNonIdempotent adds the header that tells backend servers that a request
+// must run at most once.
 func markNonIdempotent(header []core.HeaderKV, arrived core.RequestArrived) []core.HeaderKV {
 	if arrived.Idempotent {
 		return header
@@ -157,12 +158,13 @@
 	return append(header, core.HeaderKV{Name: engineapi.HeaderNonIdempotent, Value: "true"})
 }
 
-// forwarded returns the end-to-end headers, by name, without the system's own.
-func forwarded(h http.Header, without []string) []core.HeaderKV {
-	perConnection := connectionNames(h.Values("Connection"))
+// endToEndHeaders returns the end-to-end headers in the order of their names. It
+// omits the system's own headers and those in without.
+func endToEndHeaders(h http.Header, without []string) []core.HeaderKV {
+	perConnection := connectionOptions(h.Values("Connection"))
 	var list []core.HeaderKV
 	for _, name := range core.SortedKeys(h) {
-		if !endToEnd(name, perConnection) || slices.Contains(without, name) {
+		if !isEndToEnd(name, perConnection) || slices.Contains(without, name) {
 			continue
 		}
 		for _, value := range h[name] {
@@ -172,9 +174,9 @@
 	return list
 }
 
-// connectionNames returns the headers that a Connection header lists as
-// concerning one connection only.
-func connectionNames(values []string) []string {
+// connectionOptions returns the names of the headers that a Connection header
+// lists as applying to a single connection.
+func connectionOptions(values []string) []string {
 	var names []string
 	for _, value := range values {
 		for name := range strings.SplitSeq(value, ",") {
@@ -184,19 +186,20 @@
 	return names
 }
 
-func endToEnd(name string, perConnection []string) bool {
+func isEndToEnd(name string, perConnection []string) bool {
 	return !slices.Contains(hopByHop, name) && !slices.Contains(perConnection, name) &&
-		!strings.HasPrefix(name, ownPrefix)
+		!strings.HasPrefix(name, reservedPrefix)
 }
 
-// setAnswerHeader copies a backend server's end-to-end headers. A backend
-// server can't set the system's own, such as the promise of Not-Run.
-func setAnswerHeader(into http.Header, from []core.HeaderKV) {
+// copyAnswerHeaders copies a backend server's end-to-end headers. It omits the
+// system's own, so that a backend server can't set, for example,
+// Nutmeglane-Not-Run.
+func copyAnswerHeaders(into http.Header, from []core.HeaderKV) {
 	h := http.Header{}
 	for _, field := range from {
 		h.Add(field.Name, field.Value)
 	}
-	for _, field := range forwarded(h, nil) {
+	for _, field := range endToEndHeaders(h, nil) {
 		into.Add(field.Name, field.Value)
 	}
 }
--- a/internal/front/input_test.go
+++ b/internal/front/input_test.go
@@ -89,16 +89,16 @@
 
 func TestNoConfigurationYet(t *testing.T) {
 	h := newHarness(t)
-	h.front.view.Store(nil)
+	h.front.config.Store(nil)
 	got := h.wait(h.start(h.request("GET", "/v1/models", "")))
 	if got.response.StatusCode != 503 || got.response.Header.Get("Retry-After") != "1" {
 		t.Errorf("got %d, Retry-After %q", got.response.StatusCode, got.response.Header.Get("Retry-After"))
 	}
 }
 
-// TestArrived checks what the reducer is told, and that the caller's API key
-// and the headers of its connection end here.
-func TestArrived(t *testing.T) {
+// Checks the event that the reducer gets, and that the caller's API key and
+// hop-by-hop headers are not forwarded.
+func TestRequestArrivedEvent(t *testing.T) {
 	h := newHarness(t)
 	chat := chatBody + `,"frequency_penalty":1}`
 	isJSON := core.HeaderKV{Name: "Content-Type", Value: "application/json"}
@@ -128,7 +128,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			done := h.start(test.r)
-			got := next[core.RequestArrived](h)
+			got := nextEvent[core.RequestArrived](h)
 			h.front.Do(core.RespondEnd{ID: got.ID, Code: code.NoBackend})
 			h.wait(done)
 			test.want.ClientAccount = "helvarin"
@@ -142,10 +142,10 @@
 	}
 }
 
-// TestRepeatable: a parent is charged twice for one registration, because the
-// charge was sent again after a lost connection. It was taken for repeatable
-// although the club declared its path, which the call spelled differently.
-func TestRepeatable(t *testing.T) {
+// Guards against a charge that runs twice: it was retried after a lost connection,
+// because the request spelled the path differently from the service's declaration of
+// non-idempotent paths.
+func TestIsIdempotent(t *testing.T) {
 	spec := api.ServiceSpec{NonIdempotentPaths: []string{"/charges", "/fees/"}}
 	tests := []struct {
 		method, path string
@@ -156,12 +156,12 @@
 		{"PUT", "/x/../charges", false}, {"PUT", "/x/%2e%2e/charges", false}, {"GET", "/fees", false}, {"get", "/rolls", false},
 	}
 	for _, test := range tests {
-		if got := repeatable(spec, test.method, test.path); got != test.want {
-			t.Errorf("%s %s: got %v, want %v", test.method, test.path, got, test.want)
+		if got := isIdempotent(spec, test.method, test.path); got != test.want {
+			t.Errorf("%s %s: idempotent %v, want %v", test.method, test.path, got, test.want)
 		}
 	}
-	if !repeatable(api.ServiceSpec{IdempotentMethods: []string{"POST"}}, "POST", "/") {
-		t.Error("a declared POST is not repeatable")
+	if !isIdempotent(api.ServiceSpec{IdempotentMethods: []string{"POST"}}, "POST", "/") {
+		t.Error("a POST declared as idempotent is not idempotent")
 	}
 }
 
--- a/internal/front/models.go
+++ b/internal/front/models.go
@@ -18,17 +18,17 @@
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
-	// Parent is the base model of an adapter.
+	// Parent is the base model if the item is an adapter.
 	Parent string `json:"parent,omitempty"`
 }
 
 func (f *Front) serveModels(in *incoming) *refusal {
 	list := modelList{Object: "list", Data: []modelItem{}}
-	for _, name := range core.SortedKeys(in.view.Models) {
+	for _, name := range core.SortedKeys(in.config.Models) {
 		list.Data = append(list.Data, modelItem{ID: name, Object: "model", OwnedBy: "nutmeglane"})
 	}
-	for _, name := range core.SortedKeys(in.view.Adapters) {
-		base := in.view.Adapters[name].Spec.Base
+	for _, name := range core.SortedKeys(in.config.Adapters) {
+		base := in.config.Adapters[name].Spec.Base
 		list.Data = append(list.Data, modelItem{ID: base + ":" + name, Object: "model", OwnedBy: "nutmeglane", Parent: base})
 	}
 	body, err := json.Marshal(list)
