--- a/internal/core/permits/permits.go
+++ b/internal/core/permits/permits.go
@@ -1,4 +1,4 @@
-// Package permits shares the checkpoint store's lanes among all agents. The entry that is
+// Package permits shares the weight store's lanes among all agents. The entry that is
 // the steward counts the loads that agents report, and grants permits for background
 // reads (prefetches) only while lanes are free.
 //
