--- a/internal/core/config/delta.go
+++ b/internal/core/config/delta.go
@@ -16,7 +16,7 @@
 // (a newer release wrote it) or does not keep, which would show as resources
 // missing from what is in force. A difference is made only to base, which the
 // shell itself has said is in force and has been given since the last whole
-// configuration; a Keeper keeps all of those from the newest base on. A
+// configuration; a SnapshotBuilder keeps all of those from the newest base on. A
 // revision that was refused stays in open until maxOpen others follow it.
 type handed struct {
 	base sized
--- a/internal/core/config/delta_test.go
+++ b/internal/core/config/delta_test.go
@@ -15,7 +15,7 @@
 type shellWorld struct {
 	t      *testing.T
 	part   *Part
-	keeper Keeper
+	keeper SnapshotBuilder
 }
 
 // adopt has the part adopt a revision of the resources, changed by damage.
--- a/internal/core/config/keeper.go
+++ b/internal/core/config/snapshot.go
@@ -9,23 +9,23 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Errors of a Keeper, besides those of the declarations.
+// Errors of a SnapshotBuilder, besides those of the declarations.
 var (
 	ErrNoBase  = errors.New("the revision that a difference builds on is not kept")
 	ErrBadSize = errors.New("a patched configuration has another number of resources than its chunks")
 )
 
-// Keeper is the shell's side of the part: it turns ConfigApplied into the
+// SnapshotBuilder is the shell's side of the part: it turns ConfigApplied into the
 // snapshot to put in force. It keeps the snapshots that the part may still
-// send a difference to; they share what did not change. The zero Keeper is
+// send a difference to; they share what did not change. The zero SnapshotBuilder is
 // ready. One goroutine uses it.
-type Keeper struct {
+type SnapshotBuilder struct {
 	kept []*api.Snapshot // by revision
 }
 
 // Apply checks a configuration and returns the event that reports it in force.
 // After an error what was in force stays.
-func (k *Keeper) Apply(applied core.ConfigApplied) (core.ConfigInForce, error) {
+func (k *SnapshotBuilder) Apply(applied core.ConfigApplied) (core.ConfigInForce, error) {
 	resources, err := api.DecodeDocument(applied.Document)
 	if err != nil {
 		return core.ConfigInForce{}, err
@@ -40,7 +40,7 @@
 	return k.patch(applied, resources)
 }
 
-func (k *Keeper) whole(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
+func (k *SnapshotBuilder) whole(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
 	snapshot, err := api.Build(applied.Revision, resources)
 	if err != nil {
 		return core.ConfigInForce{}, err
@@ -55,7 +55,7 @@
 // that holds one resource twice would show as daemons which patched having
 // another configuration in force than daemons which built it whole and refused
 // it. A second copy adds a line but no resource.
-func (k *Keeper) patch(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
+func (k *SnapshotBuilder) patch(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
 	base := k.kept[0]
 	snapshot, err := base.Patch(applied.Revision, resources, applied.Deleted)
 	if err != nil {
--- a/internal/core/config/world_test.go
+++ b/internal/core/config/world_test.go
@@ -23,7 +23,7 @@
 // node is a process: the part and a shell that puts in force what it assembles.
 type node struct {
 	part   *Part
-	keeper Keeper
+	keeper SnapshotBuilder
 	kv     bool
 	// corrupts makes every chunk that the node sends arrive damaged.
 	corrupts bool
--- a/internal/daemon/change_shell_test.go
+++ b/internal/daemon/change_shell_test.go
@@ -10,7 +10,7 @@
 
 // benchShell puts configurations in force as the daemon does.
 type benchShell struct {
-	keeper   config.Keeper
+	keeper   config.SnapshotBuilder
 	operator *operator.Handler
 	revision int64
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -45,7 +45,7 @@
 	// connections.
 	callers     *http.Server
 	callerConns *callerConns
-	keeper      config.Keeper
+	keeper      config.SnapshotBuilder
 	drain       drain
 	// failed receives the error of a listener that ended early.
 	failed chan error
--- a/internal/operator/client/client_test.go
+++ b/internal/operator/client/client_test.go
@@ -25,7 +25,7 @@
 // that can be switched off.
 type entry struct {
 	part    *config.Part
-	keeper  config.Keeper
+	keeper  config.SnapshotBuilder
 	handler *operator.Handler
 	kv      map[string][]byte
 	mu      sync.Mutex
