--- a/internal/core/config/apply.go
+++ b/internal/core/config/apply.go
@@ -8,7 +8,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// phase is the step that a change has reached.
+// phase is the current step of a change. Dump reports it.
 type phase string
 
 const (
@@ -21,13 +21,13 @@
 )
 
 const (
-	maxJobs         = 64  // changes queued at one entry
-	maxRedos        = 8   // lost races before a change is given up
-	maxChunkRetries = 128 // repeated chunk writes of one change
-	maxRecent       = 32  // writes remembered in the head
+	maxJobs         = 64  // queued changes at one entry
+	maxPlanAttempts = 8   // a change is abandoned after losing this many races
+	maxChunkRetries = 128 // repeated chunk writes per change
+	maxRecent       = 32  // writes listed in the head
 )
 
-// job is an operator's change on its way. One runs at a time; the others wait.
+// job is an operator's change in progress. Jobs run one at a time, in order.
 type job struct {
 	request  core.ApplyRequested
 	sequence uint64
@@ -35,23 +35,23 @@
 	deadline core.Time
 	retryAt  core.Time
 
-	// kvRevision and record are the head as read.
+	// kvRevision and record are the revision and value of the head as last read.
 	kvRevision int64
 	record     core.ConfigRecord
 
 	plan plan
-	// touched are the numbers of the chunks that the plan was made on.
-	touched []int
-	next    core.ConfigRecord
-	chunks  map[string][]byte
-	pending map[string]bool
-	redos   int
-	retries int
-
-	// sent is set while a write of the head may have taken effect or may
-	// still do so; unsure when the answer of one was lost.
-	sent   bool
-	unsure bool
+	// touched holds the numbers of the chunks that the plan is based on.
+	touched      []int
+	next         core.ConfigRecord
+	chunks       map[string][]byte
+	pending      map[string]bool
+	planAttempts int
+	retries      int
+
+	// headSent is set while a write of the head may have taken effect or may
+	// still do so; answerLost is set when the answer to one was lost.
+	headSent   bool
+	answerLost bool
 }
 
 func (p *Part) applyRequested(ev core.ApplyRequested) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// startJob begins the first job in the queue by reading the head, so that the
-// change is made to the newest configuration.
+// startJob starts the first job in the queue by reading the head, so that the
+// change is applied to the newest configuration.
 func (p *Part) startJob() {
 	if len(p.jobs) > 0 && p.jobs[0].phase == phaseQueued {
 		p.jobs[0].phase = phaseReading
@@ -85,7 +85,7 @@
 	p.get(core.KeyConfigHead, call{kind: callReadHead, job: j})
 }
 
-// done reports the result of a job to the operator.
+// done sends the result of a job to the operator.
 func (p *Part) done(j *job, result code.Code, problems ...api.Problem) {
 	done := core.ApplyDone{ID: j.request.ID, Code: result, Revision: p.newest.Revision, Problems: problems}
 	if result == code.OK {
@@ -95,22 +95,23 @@
 	p.emit(done)
 }
 
-// finish ends the running job and starts the next.
+// finish ends the running job and starts the next one.
 func (p *Part) finish(j *job, result code.Code, problems ...api.Problem) {
 	p.jobs = slices.DeleteFunc(p.jobs, func(other *job) bool { return other == j })
 	p.done(j, result, problems...)
 	p.startJob()
 }
 
-// jobTick ends jobs whose time is over, and reads back after an outage.
+// jobTick ends jobs whose deadline has passed, and reads the head back after
+// an outage.
 //
-// A job that has not sent the head has no effect and never will: chunks alone
-// are in no revision. One that has may yet take effect, and the operator is
-// told so.
+// A job that has not sent the head has no effect: chunks alone are part of no
+// revision. A job that has sent it may still take effect, so the operator gets
+// KVUnknown.
 func (p *Part) jobTick() {
 	for _, j := range slices.Clone(p.jobs) {
 		switch {
-		case p.now >= j.deadline && j.sent:
+		case p.now >= j.deadline && j.headSent:
 			p.finish(j, code.KVUnknown)
 		case p.now >= j.deadline:
 			p.finish(j, code.KVUnavailable)
@@ -120,7 +121,7 @@
 	}
 }
 
-// jobResult takes the answer to a KV call of the running job.
+// jobResult handles the answer to a KV call of the running job.
 func (p *Part) jobResult(c call, ev core.KVResult) {
 	if len(p.jobs) == 0 || p.jobs[0] != c.job {
 		return
@@ -138,8 +139,8 @@
 func (p *Part) headRead(j *job, ev core.KVResult) {
 	switch {
 	case ev.Code == code.OK:
-		p.useHead(j, ev.Value, ev.Revision)
-	case j.sent:
+		p.continueFromHead(j, ev.Value, ev.Revision)
+	case j.headSent:
 		p.readBackLater(j)
 	default:
 		p.finish(j, code.KVUnavailable)
@@ -151,8 +152,8 @@
 	j.retryAt = p.now.Add(p.cfg.RetryInterval)
 }
 
-// useHead goes on from the head's current value.
-func (p *Part) useHead(j *job, value []byte, kvRevision int64) {
+// continueFromHead continues the job from the current value of the head.
+func (p *Part) continueFromHead(j *job, value []byte, kvRevision int64) {
 	var record core.ConfigRecord
 	if kvRevision != 0 {
 		var ok bool
@@ -161,67 +162,70 @@
 			return
 		}
 	}
-	if j.sent && !p.settle(j, record, kvRevision) {
+	if j.headSent && !p.resolveHeadWrite(j, record, kvRevision) {
 		return
 	}
 	j.kvRevision, j.record, j.phase = kvRevision, record, phaseFetching
-	p.target(record.Head, source{kv: true})
+	p.startFetch(record.Head, source{kv: true})
 	p.jobResume()
 }
 
-// finishUnreadable refuses a change on top of a head that can't be read: it
-// may name a revision newer than any known here, which a write would revert.
+// finishUnreadable rejects a change on top of a head that can't be decoded: it
+// may reference a newer revision than any known here, which a write would
+// revert.
 func (p *Part) finishUnreadable(j *job) {
 	result := code.BadMessage
-	if j.sent {
+	if j.headSent {
 		result = code.KVUnknown
 	}
 	p.finish(j, result, api.Problem{Path: core.KeyConfigHead, Got: "a value that can't be read", Wanted: "a configuration head"})
 }
 
-// settle finds out whether the head that was sent took effect. It returns true
-// if it did not and never will, so that the job may be planned anew.
+// resolveHeadWrite finds out whether the head that was sent took effect. It
+// returns true if it did not and never will, so that the job may be planned
+// again.
 //
-// Failure guarded against: the answer to the head's write is lost, which shows
-// as KVUnknown, or as a conflict when the write is repeated. A writer that took
-// such a conflict for another's change would apply its own twice; one that took
-// silence for success would lie to the operator. The head lists its recent
-// writers, which decides it. If the head is unchanged, the write may still be
-// under way; the same write is repeated, and only one of the two can win the
-// compare-and-swap. Once the key's revision has moved on without it, neither can.
-func (p *Part) settle(j *job, record core.ConfigRecord, kvRevision int64) bool {
+// If the answer to the head's write is lost, the write reports KVUnknown, or a
+// conflict when it is repeated. Taking that conflict for another writer's
+// change would apply the own change twice; taking a lost answer for success
+// could report a result that is not true. The head lists its recent writers,
+// which shows whether the write took effect. If the head is unchanged, the
+// write may still be in flight: the same write is repeated, and only one of
+// the two can win the compare-and-swap. Once the key's revision has changed
+// without it, neither can.
+func (p *Part) resolveHeadWrite(j *job, record core.ConfigRecord, kvRevision int64) bool {
 	switch {
-	case wroteIt(record, j):
+	case containsWrite(record, j):
 		p.succeed(j)
-		p.target(record.Head, source{kv: true})
+		p.startFetch(record.Head, source{kv: true})
 		return false
 	case kvRevision == j.kvRevision:
 		p.writeHead(j)
 		return false
-	case !reachesBack(record, j.next.Head.Revision):
-		p.target(record.Head, source{kv: true})
+	case !recentCovers(record, j.next.Head.Revision):
+		p.startFetch(record.Head, source{kv: true})
 		p.finish(j, code.KVUnknown)
 		return false
 	default:
-		j.sent, j.unsure = false, false
+		j.headSent, j.answerLost = false, false
 		return true
 	}
 }
 
-// wroteIt tells whether the job's write is among the head's recent ones.
-func wroteIt(record core.ConfigRecord, j *job) bool {
+// containsWrite reports whether the job's write is among the head's recent ones.
+func containsWrite(record core.ConfigRecord, j *job) bool {
 	if len(j.next.Recent) == 0 {
 		return false
 	}
 	return slices.Contains(record.Recent, j.next.Recent[len(j.next.Recent)-1])
 }
 
-// reachesBack tells whether the recent writes cover a revision.
-func reachesBack(record core.ConfigRecord, revision int64) bool {
+// recentCovers reports whether the head's recent writes reach back to a revision.
+func recentCovers(record core.ConfigRecord, revision int64) bool {
 	return len(record.Recent) < maxRecent || record.Recent[0].Revision <= revision
 }
 
-// jobResume goes on with the running job once the configuration it builds on
+// jobResume continues the running job once the configuration that it builds on
 // is assembled.
 func (p *Part) jobResume() {
 	if len(p.jobs) == 0 {
@@ -234,11 +238,11 @@
 }
 
 func (p *Part) planJob(j *job) {
-	if j.redos++; j.redos > maxRedos {
+	if j.planAttempts++; j.planAttempts > maxPlanAttempts {
 		p.finish(j, code.KVConflict)
 		return
 	}
-	change := readRequest(j.request)
+	change := decodeRequest(j.request)
 	j.touched = p.touched(change)
 	current, err := p.decodeChunks(j.touched)
 	if err != nil {
@@ -246,7 +250,7 @@
 		return
 	}
 	revision := p.newest.Revision + 1
-	j.plan = makePlan(current, change, revision, p.checkOf(j.touched))
+	j.plan = makePlan(current, change, revision, p.checkFor(j.touched))
 	switch {
 	case j.plan.code != code.OK:
 		p.finish(j, j.plan.code, j.plan.problems...)
@@ -257,11 +261,11 @@
 	}
 }
 
-// prepare lays out the new revision and writes its new chunks.
+// prepare encodes the new revision and writes its new chunks.
 func (p *Part) prepare(j *job, revision int64) {
 	hashes := make([]string, chunkCount)
 	copy(hashes, p.newest.Chunks)
-	chunks, err := layOut(j.plan.resources, j.touched, hashes)
+	chunks, err := encodeChunks(j.plan.resources, j.touched, hashes)
 	if err != nil {
 		p.finish(j, code.BadDeclaration, api.Problem{Got: err.Error(), Wanted: "resources that can be encoded"})
 		return
@@ -282,9 +286,9 @@
 	p.writeChunks(j)
 }
 
-// writeChunks writes the chunks that the KV service may lack. Those of the
-// head as read are there; if the KV service has lost data and its head is
-// older than what is known here, all are written.
+// writeChunks writes the chunks that the KV service may lack. Those referenced
+// by the head as read are there. If the KV service has lost data and its head
+// is older than the newest revision known here, all chunks are written.
 func (p *Part) writeChunks(j *job) {
 	j.phase, j.pending = phaseChunks, map[string]bool{}
 	stored := j.record.Head.Chunks
@@ -309,8 +313,8 @@
 	p.cas(core.KeyChunkPrefix+hash, pack(j.chunks[hash]), kvRevision, call{kind: callWriteChunk, hash: hash, job: j})
 }
 
-// chunkWritten counts a chunk as stored if the key holds the right content,
-// whoever wrote it. A corrupted value under the key is replaced.
+// chunkWritten treats a chunk as stored if the key holds the right content,
+// whichever process wrote it. A corrupted value under the key is overwritten.
 func (p *Part) chunkWritten(j *job, hash string, ev core.KVResult) {
 	if j.phase != phaseChunks || !j.pending[hash] {
 		return
@@ -346,7 +350,7 @@
 		p.finish(j, code.BadMessage, api.Problem{Got: err.Error(), Wanted: "a head that can be encoded"})
 		return
 	}
-	j.phase, j.sent = phaseHead, true
+	j.phase, j.headSent = phaseHead, true
 	p.cas(core.KeyConfigHead, value, j.kvRevision, call{kind: callWriteHead, job: j})
 }
 
@@ -355,21 +359,20 @@
 	case ev.Code == code.OK:
 		p.succeed(j)
 	case ev.Code == code.KVConflict:
-		p.useHead(j, ev.Value, ev.Revision)
-	case ev.Code == code.KVUnknown && !j.unsure:
-		j.unsure = true
+		p.continueFromHead(j, ev.Value, ev.Revision)
+	case ev.Code == code.KVUnknown && !j.answerLost:
+		j.answerLost = true
 		j.phase = phaseReadBack
 		p.readHead(j)
-	case j.unsure:
+	case j.answerLost:
 		p.readBackLater(j)
 	default:
-		j.sent = false
+		j.headSent = false
 		p.finish(j, code.KVUnavailable)
 	}
 }
 
-// succeed takes the new revision into use here without reading it back, and
-// ends the job.
+// succeed adopts the new revision without reading it back, and ends the job.
 func (p *Part) succeed(j *job) {
 	p.keepChunks(j)
 	j.phase = phaseHead
@@ -386,10 +389,10 @@
 	}
 }
 
-// keepOwnChunks spares reading back what this process has just written, when
-// the watch is faster than the answer to the write.
+// keepOwnChunks keeps the chunks that this process has just written, so that
+// they are not read back when the watch arrives before the answer to the write.
 func (p *Part) keepOwnChunks(record core.ConfigRecord) {
-	if len(p.jobs) > 0 && wroteIt(record, p.jobs[0]) {
+	if len(p.jobs) > 0 && containsWrite(record, p.jobs[0]) {
 		p.keepChunks(p.jobs[0])
 	}
 }
--- a/internal/core/config/delta.go
+++ b/internal/core/config/delta.go
@@ -7,75 +7,78 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// maxOpen bounds the revisions handed to the shell whose fate is unknown.
-const maxOpen = 8
+// maxUnconfirmed limits the revisions that were handed to the shell and are not
+// yet confirmed.
+const maxUnconfirmed = 8
 
-// handed tells what the shell has been given.
+// shellRevisions holds the revisions that were handed to the shell.
 //
-// Failure guarded against: a difference to a revision that the shell refused
-// (a newer release wrote it) or does not keep, which would show as resources
-// missing from what is in force. A difference is made only to base, which the
-// shell itself has said is in force and has been given since the last whole
-// configuration; a SnapshotBuilder keeps all of those from the newest base on. A
-// revision that was refused stays in open until maxOpen others follow it.
-type handed struct {
-	base sized
-	open []sized
+// A difference to a revision that the shell rejected (a newer release wrote it)
+// or no longer keeps would leave resources missing from the configuration in
+// force. A difference is therefore made only to base, which the shell has
+// confirmed to be in force and which was handed over no earlier than the last
+// whole configuration; a SnapshotBuilder keeps all revisions from the newest
+// base on. A rejected revision stays in unconfirmed until maxUnconfirmed others
+// follow it.
+type shellRevisions struct {
+	base        sizedRevision
+	unconfirmed []sizedRevision
 }
 
-// sized is a revision with the number of its resources.
-type sized struct {
+// sizedRevision is a revision and the number of its resources.
+type sizedRevision struct {
 	core.ConfigHead
 	size int
 }
 
-func (h *handed) add(given sized) {
-	h.open = append(h.open, given)
-	h.open = slices.Clone(h.open[max(0, len(h.open)-maxOpen):])
+func (h *shellRevisions) add(given sizedRevision) {
+	h.unconfirmed = append(h.unconfirmed, given)
+	h.unconfirmed = slices.Clone(h.unconfirmed[max(0, len(h.unconfirmed)-maxUnconfirmed):])
 }
 
-// confirm makes a revision in force the base, and forgets older ones.
-func (h *handed) confirm(revision int64) {
-	h.base = sized{}
-	for len(h.open) > 0 && h.open[0].Revision <= revision {
-		if h.open[0].Revision == revision {
-			h.base = h.open[0]
+// confirm makes a revision in force the base, and drops older ones.
+func (h *shellRevisions) confirm(revision int64) {
+	h.base = sizedRevision{}
+	for len(h.unconfirmed) > 0 && h.unconfirmed[0].Revision <= revision {
+		if h.unconfirmed[0].Revision == revision {
+			h.base = h.unconfirmed[0]
 		}
-		h.open = h.open[1:]
+		h.unconfirmed = h.unconfirmed[1:]
 	}
 }
 
-// handOver returns what to tell the shell of a revision: its difference to the
-// base, or the whole if there is no base or most of it changed.
-func (p *Part) handOver(head core.ConfigHead) core.ConfigApplied {
-	d, base := delta{}, p.handed.base
-	if !d.between(base.ConfigHead, head, p.chunks) {
+// configApplied returns the effect that hands a revision to the shell: the
+// difference to the base, or the whole configuration if there is no base or if
+// more than half of the chunks changed.
+func (p *Part) configApplied(head core.ConfigHead) core.ConfigApplied {
+	d, base := delta{}, p.shell.base
+	if !d.compute(base.ConfigHead, head, p.chunks) {
 		document := assemble(head.Chunks, p.chunks)
-		p.handed = handed{}
-		p.handed.add(sized{head, api.DocumentSize(document)})
+		p.shell = shellRevisions{}
+		p.shell.add(sizedRevision{head, api.DocumentSize(document)})
 		return core.ConfigApplied{Revision: head.Revision, Document: document}
 	}
-	size := base.size + d.growth
-	p.handed.add(sized{head, size})
+	size := base.size + d.sizeChange
+	p.shell.add(sizedRevision{head, size})
 	return core.ConfigApplied{
 		Revision: head.Revision, Base: base.Revision,
 		Document: api.JoinDocument(d.put), Deleted: d.deleted, Size: size,
 	}
 }
 
-// delta gathers the lines of changed chunks that are new, and the keys of
-// those that are gone.
+// delta collects the added lines of changed chunks, and the keys of the removed
+// ones.
 type delta struct {
 	put     [][]byte
 	deleted []api.Key
-	// growth is the number of lines added, less those that are gone.
-	growth int
+	// sizeChange is the number of added lines minus the number of removed ones.
+	sizeChange int
 }
 
-// between compares two revisions. It returns false if the whole has to be
-// handed over: a chunk is not of the form that this release writes, or more
-// than half of them changed.
-func (d *delta) between(base, head core.ConfigHead, chunks map[string][]byte) bool {
+// compute collects the difference between two revisions. It returns false if
+// the whole configuration has to be handed over: a chunk has another form than
+// the one that this release writes, or more than half of the chunks changed.
+func (d *delta) compute(base, head core.ConfigHead, chunks map[string][]byte) bool {
 	if base.Revision == 0 || len(base.Chunks) != len(head.Chunks) {
 		return false
 	}
@@ -84,24 +87,24 @@
 		if hash == base.Chunks[number] {
 			continue
 		}
-		if changed++; changed > chunkCount/2 || !d.chunk(chunks[base.Chunks[number]], chunks[hash]) {
+		if changed++; changed > chunkCount/2 || !d.addChunk(chunks[base.Chunks[number]], chunks[hash]) {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *delta) chunk(before, after []byte) bool {
-	newLines, put, ok := missing(after, before)
+func (d *delta) addChunk(before, after []byte) bool {
+	newLines, put, ok := linesNotIn(after, before)
 	if !ok {
 		return false
 	}
-	_, gone, ok := missing(before, after)
+	_, gone, ok := linesNotIn(before, after)
 	if !ok {
 		return false
 	}
 	d.put = append(d.put, newLines...)
-	d.growth += api.DocumentSize(after) - api.DocumentSize(before)
+	d.sizeChange += api.DocumentSize(after) - api.DocumentSize(before)
 	isPut := map[api.Key]bool{}
 	for _, key := range put {
 		isPut[key] = true
@@ -114,9 +117,9 @@
 	return true
 }
 
-// missing returns the lines of a chunk that another does not have, with their
-// keys. It returns false if one can't be read.
-func missing(chunk, other []byte) (lines [][]byte, keys []api.Key, ok bool) {
+// linesNotIn returns the lines of a chunk that other lacks, with their keys. It
+// returns false if one of them can't be decoded.
+func linesNotIn(chunk, other []byte) (lines [][]byte, keys []api.Key, ok bool) {
 	have := map[string]bool{}
 	for _, line := range api.SplitDocument(other) {
 		have[string(line)] = true
--- a/internal/core/config/delta_test.go
+++ b/internal/core/config/delta_test.go
@@ -11,21 +11,21 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// shellWorld is one part and its keeper, given revisions directly.
-type shellWorld struct {
+// deltaFixture is a part and its snapshot builder, to which revisions are passed directly.
+type deltaFixture struct {
 	t      *testing.T
 	part   *Part
 	keeper SnapshotBuilder
 }
 
-// adopt has the part adopt a revision of the resources, changed by damage.
-func (w *shellWorld) adopt(revision int64, resources []api.Resource, damage func(chunks [][]byte)) core.ConfigApplied {
+// adopt makes the part adopt a revision of the resources, after damage changed its chunks.
+func (w *deltaFixture) adopt(revision int64, resources []api.Resource, damage func(chunks [][]byte)) core.ConfigApplied {
 	var numbers []int
 	for number := range chunkCount {
 		numbers = append(numbers, number)
 	}
 	hashes := make([]string, chunkCount)
-	byHash, err := layOut(resources, numbers, hashes)
+	byHash, err := encodeChunks(resources, numbers, hashes)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -45,13 +45,13 @@
 	return w.part.out[0].(core.ConfigApplied)
 }
 
-// TestBaseIsConfirmed: a difference builds on the newest revision that the
-// shell has confirmed, not on one that it refused, or took but did not confirm
-// yet. Changes are listed only if the base is what is in force.
-func TestBaseIsConfirmed(t *testing.T) {
-	w := &shellWorld{t: t, part: New(Config{})}
+// TestDifferenceBuildsOnConfirmedRevision checks that a difference builds on the
+// newest revision that the shell has confirmed, not on one that it rejected or
+// has not confirmed yet. Changes are listed only if the base is in force.
+func TestDifferenceBuildsOnConfirmedRevision(t *testing.T) {
+	w := &deltaFixture{t: t, part: New(Config{})}
 	model := func(memory string) []api.Resource { return []api.Resource{modelResource("m", memory, "")} }
-	bases := "" // with "?" where any resource may have changed
+	bases := "" // "?" marks revisions in which any resource may have changed
 	for revision, step := range []struct {
 		memory           string
 		refused, confirm bool
@@ -78,24 +78,24 @@
 	w.adopt(6, model("5"), nil)
 	w.part.Step(0, core.ConfigInForce{Snapshot: &api.Snapshot{Revision: 7}})
 	if applied := w.adopt(8, model("6"), nil); applied.Base != 0 {
-		t.Errorf("built on %d after a revision of unknown chunks came into force", applied.Base)
+		t.Errorf("based on %d after a revision with unknown chunks came into force", applied.Base)
 	}
 	if _, err := w.keeper.Apply(core.ConfigApplied{Revision: 9, Base: 8, Document: []byte("[]")}); !errors.Is(err, ErrNoBase) {
 		t.Errorf("unknown base: %v", err)
 	}
 }
 
-// TestWholeHandOverStartsAnew: after a change of most chunks, which is handed
-// over whole, nothing builds on what was before it.
-func TestWholeHandOverStartsAnew(t *testing.T) {
-	w := &shellWorld{t: t, part: New(Config{})}
+// TestWholeConfigurationResetsBase checks that after a change of most chunks,
+// which is handed over whole, no difference builds on an earlier revision.
+func TestWholeConfigurationResetsBase(t *testing.T) {
+	w := &deltaFixture{t: t, part: New(Config{})}
 	models := func(memory string) (all []api.Resource) {
 		for i := range 4 * chunkCount {
 			all = append(all, modelResource(fmt.Sprint("m", i), memory, ""))
 		}
 		return all
 	}
-	last := models("1") // near the first, which is in force
+	last := models("1") // similar to the first, which is in force
 	last[0] = modelResource("m0", "3", "")
 	for i, resources := range [][]api.Resource{models("1"), models("2"), last} {
 		applied := w.adopt(int64(i+1), resources, nil)
@@ -109,9 +109,10 @@
 	}
 }
 
-// TestFaultyChunksAreNotPatched: chunks that no process of this release writes
-// are refused or taken just as when built whole.
-func TestFaultyChunksAreNotPatched(t *testing.T) {
+// TestFaultyChunksPatchedAsBuiltWhole checks that chunks of a form that no process
+// of this release writes are rejected or accepted by a patch exactly as when the
+// configuration is built whole.
+func TestFaultyChunksPatchedAsBuiltWhole(t *testing.T) {
 	m, n := modelResource("m", "1", ""), modelResource("n", "2", "")
 	encode := func(resources ...api.Resource) []byte {
 		document, err := api.EncodeDocument(resources)
@@ -130,7 +131,7 @@
 		"of another form":       func(c [][]byte) { c[home] = append([]byte("[ "), c[home][1:]...) },
 		"not readable":          func(c [][]byte) { c[home] = []byte("[{]") },
 	} {
-		w := &shellWorld{t: t, part: New(Config{})}
+		w := &deltaFixture{t: t, part: New(Config{})}
 		inForce, err := w.keeper.Apply(w.adopt(1, []api.Resource{m}, nil))
 		if err != nil {
 			t.Fatal(err)
@@ -145,8 +146,8 @@
 		if (err == nil) != (wholeErr == nil) {
 			t.Errorf("%s: patched: %v; whole: %v", name, err, wholeErr)
 		}
-		if err == nil && !cmp.Equal(w.part.whole(2), patched.Snapshot) {
-			t.Errorf("%s: patched to another configuration than the whole", name)
+		if err == nil && !cmp.Equal(w.part.buildNewest(2), patched.Snapshot) {
+			t.Errorf("%s: the patched configuration differs from the one built whole", name)
 		}
 	}
 }
--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -14,19 +14,19 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// chunkCount is the number of chunks that make up a revision. At 42,000
-// adapters a chunk holds some 660 resources.
+// chunkCount is the number of chunks of a revision. With 42,000 adapters a
+// chunk holds about 660 resources.
 const chunkCount = 64
 
-// Limits of a chunk. A KV value holds at most a megabyte; a chunk is kept
-// compressed there.
+// Size limits of a chunk. A KV value holds at most a megabyte; chunks are
+// stored there compressed.
 const (
 	maxPackedBytes   = 1_000_000
 	maxUnpackedBytes = 16 << 20
 )
 
-// contentHash is the hexadecimal SHA-256 of a chunk before compression, and
-// its key: a chunk that has the hash is the right one, whoever sent it.
+// contentHash returns the hexadecimal SHA-256 of an uncompressed chunk, which
+// is also its key: content with the expected hash is valid, whoever sent it.
 func contentHash(chunk []byte) string {
 	sum := sha256.Sum256(chunk)
 	return hex.EncodeToString(sum[:])
@@ -37,9 +37,10 @@
 	return int(xxhash.Sum64String(key.String()) % chunkCount)
 }
 
-// layOut encodes the chunks of the given numbers, of which resources are all.
-// It sets their hashes in hashes and returns their content by hash.
-func layOut(resources []api.Resource, numbers []int, hashes []string) (map[string][]byte, error) {
+// encodeChunks encodes the chunks with the given numbers; resources holds all
+// their resources. It stores their hashes in hashes and returns their content by
+// hash.
+func encodeChunks(resources []api.Resource, numbers []int, hashes []string) (map[string][]byte, error) {
 	var groups [chunkCount][]api.Resource
 	for _, r := range resources {
 		i := chunkOf(r.Key())
@@ -78,16 +79,16 @@
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.DefaultCompression)
 	if err != nil {
-		panic(err) // only for a level out of range
+		panic(err) // only if the level is out of range
 	}
-	_, _ = w.Write(chunk) // a bytes.Buffer takes every write
+	_, _ = w.Write(chunk) // a bytes.Buffer never fails
 	_ = w.Close()
 	return b.Bytes()
 }
 
-// unpack returns the content of a packed chunk if it has the hash. A corrupted
-// value shows here as a failing decompression or as another hash, and one that
-// would unpack without end is cut at maxUnpackedBytes.
+// unpack returns the content of a packed chunk if it has the expected hash. A
+// corrupted value fails to decompress or has another hash. The output is cut at
+// maxUnpackedBytes, which bounds values that decompress to an excessive size.
 func unpack(packed []byte, hash string) ([]byte, error) {
 	limited := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes)
 	chunk, err := io.ReadAll(limited)
@@ -100,7 +101,7 @@
 	return chunk, nil
 }
 
-// validHead tells whether a head can name a configuration at all.
+// validHead reports whether a head can reference a configuration.
 func validHead(head core.ConfigHead) bool {
 	return head.Revision > 0 && len(head.Chunks) == chunkCount
 }
--- a/internal/core/config/dump.go
+++ b/internal/core/config/dump.go
@@ -2,20 +2,20 @@
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// Dump is the state dump of the part.
+// Dump is the part's state dump, which the operators' API and metrics read.
 type Dump struct {
-	// Assembled is the newest revision collected, InForce the one in use.
+	// Assembled is the newest revision assembled, InForce the one in use.
 	Assembled int64 `json:"assembled"`
 	InForce   int64 `json:"inForce"`
-	// Fetching is the revision being collected, from Source; 0 if none.
+	// Fetching is the revision being fetched, from Source; 0 if none.
 	Fetching int64  `json:"fetching,omitempty"`
 	Source   string `json:"source,omitempty"`
-	// Peers tells the newest revision each peer is known to have.
+	// Peers holds the newest revision that each peer has announced.
 	Peers   map[core.HostID]int64 `json:"peers,omitempty"`
 	Applies []ApplyState          `json:"applies,omitempty"`
 }
 
-// ApplyState is the dump of an operator's change under way.
+// ApplyState is the dump of an operator's change in progress.
 type ApplyState struct {
 	ID    uint64 `json:"id"`
 	Phase string `json:"phase"`
@@ -33,7 +33,7 @@
 		dump.Peers[host] = peer.revision
 	}
 	for _, j := range p.jobs {
-		dump.Applies = append(dump.Applies, ApplyState{ID: j.request.ID, Phase: string(j.phase), Redos: j.redos})
+		dump.Applies = append(dump.Applies, ApplyState{ID: j.request.ID, Phase: string(j.phase), Redos: j.planAttempts})
 	}
 	return dump
 }
--- a/internal/core/config/fetch.go
+++ b/internal/core/config/fetch.go
@@ -8,31 +8,31 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// The label values of sources.
+// Values of the label "source".
 const (
 	sourceKV   = "kv"
 	sourcePeer = "peer"
 )
 
-// source is where chunks are read from: the KV service or a peer.
+// source is the origin of chunks: the KV service or a peer.
 type source struct {
 	kv   bool
 	peer core.HostID
 }
 
-// fetch is the revision being collected.
+// fetch is the state of collecting a revision.
 type fetch struct {
 	head   core.ConfigHead
 	source source
-	// inKV is set when the KV service named the revision.
+	// inKV is set if the KV service holds the revision's head.
 	inKV        bool
 	outstanding map[string]bool
 	deadline    core.Time
-	// failures counts rounds that did not deliver.
+	// failures counts consecutive rounds in which the source did not deliver.
 	failures int
 }
 
-// callKind tells what a KV call was for.
+// callKind is the purpose of a KV call.
 type callKind uint8
 
 const (
@@ -42,7 +42,7 @@
 	callWriteHead
 )
 
-// call is a KV call whose answer is awaited.
+// call is a KV call without an answer yet.
 type call struct {
 	kind callKind
 	hash string
@@ -68,19 +68,19 @@
 	p.emit(core.KVCas{Tag: p.tag(c), Key: key, Value: value, Revision: revision})
 }
 
-// watched takes the head's newest value from the watch.
-func (p *Part) watched(ev core.KVValue) {
+// headWatched handles a new value of the head from the KV watch.
+func (p *Part) headWatched(ev core.KVValue) {
 	if !p.cfg.KV || ev.Key != core.KeyConfigHead || ev.Revision == 0 {
 		return
 	}
 	if record, ok := p.decodeHead(ev.Value); ok {
 		p.keepOwnChunks(record)
-		p.target(record.Head, source{kv: true})
+		p.startFetch(record.Head, source{kv: true})
 	}
 }
 
-// decodeHead reads the KV value of the head. A value that can't be read is
-// left alone: what is in force stays.
+// decodeHead decodes the KV value of the head. A value that can't be decoded is
+// ignored: the configuration in force stays.
 func (p *Part) decodeHead(value []byte) (core.ConfigRecord, bool) {
 	var record core.ConfigRecord
 	if err := core.DecodeValue(value, &record); err != nil || !validHead(record.Head) {
@@ -91,23 +91,23 @@
 	return record, true
 }
 
-// target begins to collect a revision, if it is the newest heard of. Chunks
-// already collected are kept: they are known by their content.
-func (p *Part) target(head core.ConfigHead, from source) {
+// startFetch starts to collect a revision if it is newer than all others seen.
+// Chunks that are already collected are kept, as they are addressed by content.
+func (p *Part) startFetch(head core.ConfigHead, from source) {
 	if head.Revision <= p.newest.Revision {
 		return
 	}
 	if p.fetch != nil && head.Revision <= p.fetch.head.Revision {
-		p.targetAgain(head, from)
+		p.addFetchSource(head, from)
 		return
 	}
 	p.fetch = &fetch{head: head, source: from, inKV: from.kv}
 	p.requestChunks()
 }
 
-// targetAgain notes another source of the revision being collected, and tries
-// it at once if the sources so far have failed.
-func (p *Part) targetAgain(head core.ConfigHead, from source) {
+// addFetchSource records another source of the revision being fetched, and uses
+// it at once if the previous sources have failed.
+func (p *Part) addFetchSource(head core.ConfigHead, from source) {
 	f := p.fetch
 	if head.Revision < f.head.Revision {
 		return
@@ -119,12 +119,12 @@
 	}
 }
 
-// requestChunks asks the source for the next chunks that lack, or adopts the
-// revision when none does.
+// requestChunks requests the next missing chunks from the source, or adopts the
+// revision if none is missing.
 func (p *Part) requestChunks() {
 	f := p.fetch
 	f.outstanding = map[string]bool{}
-	f.deadline = p.now.Add(p.patience(f.source))
+	f.deadline = p.now.Add(p.sourceTimeout(f.source))
 	var want []string
 	for _, hash := range f.head.Chunks {
 		_, have := p.chunks[hash]
@@ -147,24 +147,25 @@
 	}
 }
 
-// kvPatience is how many retry intervals a KV read may take. It is longer than
-// a peer's answer, so that a slow KV service is not asked for a chunk twice.
-const kvPatience = 4
+// kvTimeoutIntervals is the number of retry intervals that a KV read may take.
+// It is longer than a peer's answer may take, so that a slow KV service is not
+// asked for a chunk twice.
+const kvTimeoutIntervals = 4
 
-// maxDoublings bounds the wait after failed rounds: 32 s by default.
+// maxDoublings limits the backoff after failed rounds, to 32 s by default.
 const maxDoublings = 6
 
-func (p *Part) patience(s source) time.Duration {
+func (p *Part) sourceTimeout(s source) time.Duration {
 	if s.kv {
-		return kvPatience * p.cfg.RetryInterval
+		return kvTimeoutIntervals * p.cfg.RetryInterval
 	}
 	return p.cfg.RetryInterval
 }
 
-// failed has the next source asked later. The wait doubles with each failed
-// round: a chunk that is damaged in the KV service and held by no peer would
-// otherwise have each starting entry read it twice a second for good.
-func (p *Part) failed() {
+// delayRetry schedules the request to the next source. The delay doubles with
+// each failed round: otherwise every starting entry would read a chunk that is
+// damaged in the KV service and held by no peer twice a second, indefinitely.
+func (p *Part) delayRetry() {
 	wait := p.cfg.RetryInterval << min(p.fetch.failures, maxDoublings)
 	p.fetch.deadline = p.now.Add(wait)
 }
@@ -176,16 +177,16 @@
 	return sourcePeer
 }
 
-// collect checks and keeps a chunk. A corrupted one is not kept; at the
-// deadline the next source is asked, so that a source which always answers
-// wrongly costs one round per RetryInterval, and the revision never comes
-// into force in part.
-func (p *Part) collect(hash string, packed []byte, from string) {
+// storeChunk verifies a chunk and keeps it. A corrupted chunk is dropped, and
+// the next source is tried at the deadline: a source that always sends corrupted
+// data costs one round per RetryInterval, and no part of a revision ever comes
+// into force by itself.
+func (p *Part) storeChunk(hash string, packed []byte, from string) {
 	chunk, err := unpack(packed, hash)
 	if err != nil {
 		p.count(countBadChunks, from)
-		p.emit(core.Note{Name: "configuration chunk refused", Fields: []string{"source", from, "hash", hash}})
-		p.failed()
+		p.emit(core.Note{Name: "corrupted configuration chunk rejected", Fields: []string{"source", from, "hash", hash}})
+		p.delayRetry()
 		return
 	}
 	p.chunks[hash] = chunk
@@ -196,23 +197,24 @@
 	}
 }
 
-// fetchAgain asks another source for what the last one did not deliver.
-func (p *Part) fetchAgain() {
+// retryFetch requests what the last source did not deliver from another one.
+func (p *Part) retryFetch() {
 	if p.fetch == nil || p.now < p.fetch.deadline {
 		return
 	}
 	p.fetch.failures++
 	next, ok := p.nextSource(p.fetch)
 	if !ok {
-		p.failed()
+		p.delayRetry()
 		return
 	}
 	p.fetch.source = next
 	p.requestChunks()
 }
 
-// nextSource goes round the KV service, if it named the revision and is up,
-// and the peers that have the revision. It returns false if there is none.
+// nextSource cycles through the KV service, if it holds the revision and is
+// reachable, and the peers that have the revision. It returns false if there is
+// no source.
 func (p *Part) nextSource(f *fetch) (source, bool) {
 	hosts := p.peersWith(f.head.Revision)
 	kv := p.kvUp && f.inKV
@@ -225,12 +227,12 @@
 	case kv && last >= hosts[len(hosts)-1]:
 		return source{kv: true}, true
 	default:
-		return source{peer: after(hosts, last)}, true
+		return source{peer: nextHost(hosts, last)}, true
 	}
 }
 
-// reachable tries the KV service at once when it is back.
-func (p *Part) reachable(up bool) {
+// kvReachable retries a fetch at once when the KV service is reachable again.
+func (p *Part) kvReachable(up bool) {
 	back := up && !p.kvUp
 	p.kvUp = up && p.cfg.KV
 	if back && p.fetch != nil && p.fetch.inKV {
@@ -239,8 +241,8 @@
 	}
 }
 
-// result routes the answer of a KV call. Answers to unknown tags are of
-// another part, or of a call given up.
+// result routes the answer to a KV call. An answer with an unknown tag belongs
+// to another part.
 func (p *Part) result(ev core.KVResult) {
 	c, ok := p.calls[ev.Tag]
 	if !ok {
@@ -259,8 +261,8 @@
 		return
 	}
 	if ev.Code != code.OK {
-		p.failed()
+		p.delayRetry()
 		return
 	}
-	p.collect(hash, ev.Value, sourceKV)
+	p.storeChunk(hash, ev.Value, sourceKV)
 }
--- a/internal/core/config/part.go
+++ b/internal/core/config/part.go
@@ -1,23 +1,24 @@
-// Package config is the sub-reducer that brings the operators' configuration
-// into force at every process.
+// Package config is the sub-reducer that distributes the operators'
+// configuration to every process and brings it into force.
 //
 // A revision is a list of 64 content-addressed chunks of resources. In the KV
-// service the chunks are written first and the head, which names them, last
-// and by compare-and-swap, so that a change of many values takes effect whole
-// or not at all. Entries watch the head and read the chunks they lack, each
-// once. All processes tell their peers which revision they have, and send what
-// is missing; agents, which do not call the KV service, and entries that start
-// while it is away learn the configuration in this way. A revision is never
+// service the chunks are written first. The head, which lists their hashes, is
+// written last and by compare-and-swap, so that a change of many resources is
+// atomic. Entries watch the head and read each missing chunk once. All
+// processes announce their revision to their peers and send the chunks that a
+// peer lacks. Agents, which do not call the KV service, and entries that start
+// during an outage of it get the configuration from peers. A revision is never
 // replaced by an older one.
 //
-// Relay works by two forms of core.ConfigHead. Without chunks it announces the
-// sender's revision. A receiver that has a newer one answers with its full
-// head; one that has an older one answers with its own announcement, and so
-// gets the full head. Announcements are a few bytes, so that many entries
-// connected to one agent do not send it a full head each.
+// The exchange between peers uses two forms of core.ConfigHead. Without chunks
+// it announces the sender's revision. A receiver that has a newer revision
+// answers with its full head; one that has an older revision answers with its
+// own announcement, and so receives the full head. Announcements are a few
+// bytes, so that many entries connected to one agent do not each send it a
+// full head.
 //
-// Chunks that no revision names any more stay in the KV service; their
-// clean-up is open.
+// Chunks that no revision references any more are not deleted from the KV
+// service.
 package config
 
 import (
@@ -27,7 +28,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Defaults of Config.
+// Defaults for unset fields of Config.
 const (
 	DefaultRetryInterval = 500 * time.Millisecond
 	DefaultApplyTimeout  = 10 * time.Second
@@ -35,18 +36,19 @@
 
 // Config is the part's configuration.
 type Config struct {
-	// KV is set at entries, which call the KV service.
+	// KV is true at entries, which call the KV service.
 	KV bool
-	// Incarnation is the process's own. It marks its writes.
+	// Incarnation identifies this process in the writes that it makes.
 	Incarnation core.Incarnation
-	// RetryInterval is the wait for an answer of the KV service or a peer
-	// before another source is asked.
+	// RetryInterval is how long an answer of the KV service or of a peer is
+	// awaited before another source is tried. Default DefaultRetryInterval.
 	RetryInterval time.Duration
-	// ApplyTimeout bounds an operator's change.
+	// ApplyTimeout limits the duration of an operator's change. Default
+	// DefaultApplyTimeout.
 	ApplyTimeout time.Duration
 }
 
-// The counters.
+// Names of the counters.
 const (
 	countBadChunks core.Counter = "config_bad_chunks_total"
 	countReads     core.Counter = "config_kv_reads_total"
@@ -55,7 +57,7 @@
 	countFetches   core.Counter = "config_revisions_fetched_total"
 )
 
-// Counters describes the counters that the part emits.
+// Counters returns the definitions of the counters that the part emits.
 func Counters() []core.CounterDef {
 	return []core.CounterDef{
 		{Name: countBadChunks, Help: "Chunks or heads refused because they were corrupted, by source.", Labels: []string{"source"}},
@@ -66,26 +68,26 @@
 	}
 }
 
-// Part implements core.Part.
+// Part is the sub-reducer. It implements core.Part.
 type Part struct {
 	cfg Config
 	now core.Time
 	out []core.Effect
 
-	// newest is the newest revision assembled here; its chunks and those
-	// collected for the one being fetched are in chunks, by hash.
+	// newest is the newest revision assembled here. chunks holds, by hash, its
+	// chunks and those collected for the revision that is being fetched.
 	newest core.ConfigHead
 	chunks map[string][]byte
-	// inForce is the revision that the shell has put in force, and snapshot
-	// its content.
+	// inForce is the revision that the shell last reported in force, and
+	// snapshot its content.
 	inForce  int64
 	snapshot *api.Snapshot
-	handed   handed
+	shell    shellRevisions
 
-	kvUp  bool
-	peers map[core.HostID]*peer
-	ask   ask
-	fetch *fetch
+	kvUp        bool
+	peers       map[core.HostID]*peer
+	headRequest headRequest
+	fetch       *fetch
 
 	jobs     []*job
 	sequence uint64
@@ -93,7 +95,7 @@
 	calls    map[uint64]call
 }
 
-// New returns the part.
+// New returns a part; unset durations of cfg get their defaults.
 func New(cfg Config) *Part {
 	if cfg.RetryInterval == 0 {
 		cfg.RetryInterval = DefaultRetryInterval
@@ -123,9 +125,9 @@
 	case core.Received:
 		p.received(ev.From, ev.Message)
 	case core.KVValue:
-		p.watched(ev)
+		p.headWatched(ev)
 	case core.KVReachable:
-		p.reachable(ev.Up)
+		p.kvReachable(ev.Up)
 	case core.KVResult:
 		p.result(ev)
 	case core.ConfigInForce:
@@ -143,16 +145,16 @@
 }
 
 func (p *Part) tick() {
-	p.askAgain()
-	p.fetchAgain()
+	p.retryHeadRequest()
+	p.retryFetch()
 	p.jobTick()
 }
 
 // Next implements core.Part.
 func (p *Part) Next() core.Time {
 	next := core.Never
-	if p.ask.waiting {
-		next = min(next, p.ask.deadline)
+	if p.headRequest.waiting {
+		next = min(next, p.headRequest.deadline)
 	}
 	if p.fetch != nil {
 		next = min(next, p.fetch.deadline)
@@ -166,16 +168,17 @@
 	return next
 }
 
-// confirmed notes that the shell put a revision in force, and offers it to the
-// peers that are not known to have it. An agent tells all its peers: the entry
-// that a revision came from would otherwise never learn that it is in force.
+// confirmed records that the shell put a revision in force, and announces it
+// to the peers that are not known to have it. An agent announces it to all its
+// peers: the entry that sent the revision would otherwise not learn that it is
+// in force at the agent.
 func (p *Part) confirmed(snapshot *api.Snapshot) {
 	revision := snapshot.Revision
 	if revision <= p.inForce {
 		return
 	}
 	p.inForce, p.snapshot = revision, snapshot
-	p.handed.confirm(revision)
+	p.shell.confirm(revision)
 	p.forgetChunks()
 	for _, host := range core.SortedKeys(p.peers) {
 		if !p.cfg.KV || p.peers[host].revision < revision {
@@ -184,33 +187,34 @@
 	}
 }
 
-// adopt takes a completely assembled revision and hands it to the shell. It is
-// offered to peers only once the shell has checked it and put it in force.
+// adopt hands a completely assembled revision to the shell. It is offered to
+// peers only once the shell has checked it and put it in force.
 //
-// Guard against reverting: an older or equal revision, from a stale peer or a
-// late answer, would show as settings that jump back. Revisions are compared
-// here, the only place where newest changes, so that ConfigApplied only grows.
+// An older or equal revision, from a stale peer or a late answer, is ignored:
+// it would revert settings. newest changes only here, so the revisions of
+// ConfigApplied always increase.
 func (p *Part) adopt(head core.ConfigHead) {
 	if head.Revision <= p.newest.Revision {
 		return
 	}
 	p.newest = head
-	p.emit(p.handOver(head))
+	p.emit(p.configApplied(head))
 	p.forgetChunks()
 	p.emit(core.Note{Name: "configuration assembled", Fields: []string{"revision", itoa(head.Revision)}})
 	if p.fetch != nil && p.fetch.head.Revision <= head.Revision {
 		p.fetch = nil
 	}
-	p.ask = ask{}
+	p.headRequest = headRequest{}
 	p.jobResume()
 }
 
-// forgetChunks drops chunks that neither the newest revision, nor the one
-// being fetched, nor one that the next difference may build on names.
+// forgetChunks drops the chunks that are referenced neither by the newest
+// revision, nor by the one being fetched, nor by one that the next difference
+// may build on.
 func (p *Part) forgetChunks() {
 	named := map[string]bool{}
-	heads := []core.ConfigHead{p.newest, p.handed.base.ConfigHead}
-	for _, given := range p.handed.open {
+	heads := []core.ConfigHead{p.newest, p.shell.base.ConfigHead}
+	for _, given := range p.shell.unconfirmed {
 		heads = append(heads, given.ConfigHead)
 	}
 	if p.fetch != nil {
--- a/internal/core/config/plan.go
+++ b/internal/core/config/plan.go
@@ -13,9 +13,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// plan is what a change would do to a set of resources.
+// plan is the result of applying a change to a set of resources.
 type plan struct {
-	// resources are those after the change, of the chunks planned on.
+	// resources are the resources of the planned chunks after the change.
 	resources []api.Resource
 	put       []api.Resource
 	deleted   []api.Key
@@ -24,7 +24,7 @@
 	problems  []api.Problem
 }
 
-// planner merges a change into the current resources.
+// planner applies a change to the current resources.
 type planner struct {
 	revision int64
 	current  map[string]api.Resource
@@ -32,10 +32,10 @@
 	plan     plan
 }
 
-// makePlan returns the effect of a change on the current resources, which are
-// at least those that it names; revision is the one that the change would
-// make. A resource that states a resourceVersion is changed only if that is
-// still the current one; for one that states none the last writer wins.
+// makePlan returns the effect of a change on the current resources, which
+// include at least those that the change names; revision is the number of the
+// revision that the change would create. A resource with a resourceVersion is
+// changed only if that is the current one; without one the last writer wins.
 func makePlan(current []api.Resource, change request, revision int64, check func(plan) error) plan {
 	pl := &planner{revision: revision, current: map[string]api.Resource{}, next: map[string]api.Resource{}}
 	for _, r := range current {
@@ -98,8 +98,8 @@
 	}
 }
 
-// prune deletes what is not named. A change that names nothing is refused: an
-// empty directory given by mistake would otherwise delete the configuration.
+// prune deletes the resources that are not named. A change that names nothing is
+// rejected: an empty directory given by mistake would delete the configuration.
 func (pl *planner) prune(named map[string]bool) {
 	if len(named) == 0 {
 		pl.refuse(code.BadDeclaration, api.Key{}, "", "no resources", "at least one when pruning")
@@ -112,8 +112,8 @@
 	}
 }
 
-// versionHolds checks a stated resourceVersion against the current one.
-func (pl *planner) versionHolds(key api.Key, stated int64) bool {
+// checkVersion compares a given resourceVersion with the current one.
+func (pl *planner) checkVersion(key api.Key, stated int64) bool {
 	current, exists := pl.current[key.String()]
 	if stated == 0 || exists && stated == current.Metadata.ResourceVersion {
 		return true
@@ -127,7 +127,7 @@
 }
 
 func (pl *planner) put(r api.Resource) {
-	if !pl.versionHolds(r.Key(), r.Metadata.ResourceVersion) {
+	if !pl.checkVersion(r.Key(), r.Metadata.ResourceVersion) {
 		return
 	}
 	current, exists := pl.current[r.Key().String()]
@@ -152,7 +152,7 @@
 
 func (pl *planner) delete(deletion core.ConfigDeletion) {
 	key := deletion.Key
-	if !pl.versionHolds(key, deletion.ResourceVersion) {
+	if !pl.checkVersion(key, deletion.ResourceVersion) {
 		return
 	}
 	if _, exists := pl.current[key.String()]; !exists {
@@ -160,7 +160,7 @@
 		return
 	}
 	delete(pl.next, key.String())
-	// A change may name a resource to put and to delete; deletion comes last.
+	// A change may both put and delete a resource; deletion takes precedence.
 	pl.plan.put = slices.DeleteFunc(pl.plan.put, func(r api.Resource) bool { return r.Key() == key })
 	pl.plan.deleted = append(pl.plan.deleted, key)
 	pl.changed(key, core.ActionDeleted, 0)
@@ -170,7 +170,7 @@
 	pl.plan.changes = append(pl.plan.changes, core.ConfigChange{Key: key, Action: action, ResourceVersion: version})
 }
 
-// empty tells whether the plan changes nothing.
+// empty reports whether the plan changes nothing.
 func (p plan) empty() bool {
 	return !slices.ContainsFunc(p.changes, func(c core.ConfigChange) bool {
 		return c.Action != core.ActionUnchanged && c.Action != core.ActionAbsent
--- a/internal/core/config/property_test.go
+++ b/internal/core/config/property_test.go
@@ -11,18 +11,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// TestOperatorsAreToldTheTruth has operators change models at two entries
-// while the KV service fails, answers are lost and connections break. The
-// shell of the test world panics if any process reverts. At the end of each
-// run the faults are over, and then:
+// TestApplyResultsMatchConfiguration has operators change models at two entries
+// while the KV service fails, answers are lost and connections break. The test
+// shell panics if any process reverts. At the end of each run the faults are
+// over, and then:
 //   - all processes have the same revision in force;
 //   - every change answered with success is in force, every change answered
 //     with "not applied" is not, and each change got exactly one answer.
 //
-// At each revision the test world compares what was built from a difference
-// with what is built from scratch, and for each change the plan made on the
-// chunks that it touches with the one made on all.
-func TestOperatorsAreToldTheTruth(t *testing.T) {
+// At each revision the configuration that was built from a difference is compared
+// with the one built from scratch, and for each change the plan made on the
+// chunks that it touches is compared with the one made on all chunks.
+func TestApplyResultsMatchConfiguration(t *testing.T) {
 	patched := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
@@ -33,12 +33,12 @@
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			changes += w.randomStep(t, changes)
 		}
-		w.landLate()
+		w.deliverLateWrite()
 		w.kvUp()
 		w.connect("e1", "a1", true)
 		w.connect("e2", "a1", true)
 		w.advance(time.Minute)
-		w.checkTruth(t, changes)
+		w.checkResults(t, changes)
 		patched += w.patched
 	})
 	if patched == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// randomStep returns the number of changes that it posted.
+// randomStep performs a random action and returns the number of changes that it posted.
 func (w *world) randomStep(t *rapid.T, changes uint64) uint64 {
 	host := rapid.SampledFrom([]core.HostID{"e1", "e2"}).Draw(t, "host")
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -74,14 +74,14 @@
 			w.step(next.node, next.event)
 		}
 	case 9:
-		w.landLate()
+		w.deliverLateWrite()
 	}
 	return 0
 }
 
-// randomExtras returns words of changeOf that touch other resources as well:
-// adapters, and two base models whose priority they inherit. Some are refused:
-// an adapter without its base, a base deleted under one, a memory of 0.
+// randomExtras returns arguments of changeOf that change other resources as well:
+// adapters, and two base models whose priority they inherit. Some are rejected:
+// an adapter without its base, the deletion of a base with adapters, a memory of 0.
 func randomExtras(t *rapid.T) []string {
 	var words []string
 	model := rapid.SampledFrom([]string{"p", "q"}).Draw(t, "base")
@@ -98,10 +98,11 @@
 	return words
 }
 
-// modelName names a model of a change's own, so that its effect can be told.
+// modelName returns the name of a model that only this change declares, which shows
+// whether the change is in force.
 func modelName(id uint64) string { return fmt.Sprintf("m%d", id) }
 
-func (w *world) checkTruth(t *rapid.T, changes uint64) {
+func (w *world) checkResults(t *rapid.T, changes uint64) {
 	if uint64(len(w.answers)) != changes {
 		t.Fatalf("%d answers to %d changes", len(w.answers), changes)
 	}
--- a/internal/core/config/relay.go
+++ b/internal/core/config/relay.go
@@ -4,21 +4,21 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// peer is what is known of a connected process.
+// peer is the state of a connected process.
 type peer struct {
-	// revision is the newest one that the peer said it has.
+	// revision is the newest revision that the peer has announced.
 	revision int64
 }
 
-// ask is a question to a peer for its full head.
-type ask struct {
+// headRequest is a request for the full head that was sent to a peer.
+type headRequest struct {
 	waiting  bool
 	host     core.HostID
 	deadline core.Time
 }
 
-// maxChunksAtOnce bounds how many chunks are asked for at a time, so that a
-// process that starts does not hold up other messages of a connection.
+// maxChunksAtOnce limits the chunks that are requested at a time, so that a
+// starting process does not delay other messages on a connection.
 const maxChunksAtOnce = 8
 
 func (p *Part) peerUp(host core.HostID) {
@@ -26,8 +26,8 @@
 	p.announce(host)
 }
 
-// offered is the revision that this process offers to others: the newest one,
-// once it is in force.
+// offered returns the revision that this process offers to its peers: the newest
+// one, once it is in force.
 func (p *Part) offered() core.ConfigHead {
 	if p.newest.Revision <= p.inForce {
 		return p.newest
@@ -47,64 +47,65 @@
 	case core.ConfigHead:
 		p.headOffered(from, m)
 	case core.ConfigWant:
-		p.wanted(from, m)
+		p.chunksRequested(from, m)
 	case core.ConfigChunk:
-		p.chunkArrived(from, m)
+		p.chunkReceived(from, m)
 	}
 }
 
 func (p *Part) headOffered(from core.HostID, head core.ConfigHead) {
 	p.peers[from].revision = head.Revision
-	mine := p.offered()
+	own := p.offered()
 	switch {
-	case head.Revision < mine.Revision:
-		// A stale peer: it gets the newer one. Its own is never looked at.
+	case head.Revision < own.Revision:
+		// The peer is stale: it gets the newer head, and its own is ignored.
 		p.sendHead(from)
 	case head.Revision <= p.newest.Revision:
 	case len(head.Chunks) == 0:
-		p.askForHead(from)
+		p.requestHead(from)
 	case !validHead(head):
 		p.count(countBadChunks, sourcePeer)
 	default:
-		p.ask = ask{}
-		p.target(head, source{peer: from})
+		p.headRequest = headRequest{}
+		p.startFetch(head, source{peer: from})
 	}
 }
 
-// sendHead sends the full head, if it is at hand.
+// sendHead sends the full head if it is available.
 func (p *Part) sendHead(to core.HostID) {
 	if head := p.offered(); len(head.Chunks) > 0 {
 		p.emit(core.Send{To: to, Message: head})
 	}
 }
 
-// askForHead asks a peer that has a newer revision, unless one is asked.
-func (p *Part) askForHead(host core.HostID) {
-	if p.ask.waiting {
+// requestHead asks a peer that has a newer revision for its head, unless a
+// request is already open.
+func (p *Part) requestHead(host core.HostID) {
+	if p.headRequest.waiting {
 		return
 	}
-	p.ask = ask{waiting: true, host: host, deadline: p.now.Add(p.cfg.RetryInterval)}
+	p.headRequest = headRequest{waiting: true, host: host, deadline: p.now.Add(p.cfg.RetryInterval)}
 	p.announce(host)
 }
 
-// askAgain asks another peer when one did not answer. The failure guarded
-// against: the peer asked first is paused or its connection silent, and this
-// process would stay on an old revision while others have the new one.
-func (p *Part) askAgain() {
-	if !p.ask.waiting || p.now < p.ask.deadline {
+// retryHeadRequest asks another peer if one did not answer. If the first peer is
+// paused or its connection is dead, this process would otherwise stay on an old
+// revision.
+func (p *Part) retryHeadRequest() {
+	if !p.headRequest.waiting || p.now < p.headRequest.deadline {
 		return
 	}
-	last := p.ask.host
-	p.ask = ask{}
+	last := p.headRequest.host
+	p.headRequest = headRequest{}
 	if p.fetch != nil {
 		return
 	}
 	if hosts := p.peersWith(p.newest.Revision + 1); len(hosts) > 0 {
-		p.askForHead(after(hosts, last))
+		p.requestHead(nextHost(hosts, last))
 	}
 }
 
-// peersWith returns the peers that have a revision or a newer one, sorted.
+// peersWith returns the peers that have the revision or a newer one, sorted.
 func (p *Part) peersWith(revision int64) []core.HostID {
 	var hosts []core.HostID
 	for _, host := range core.SortedKeys(p.peers) {
@@ -115,8 +116,8 @@
 	return hosts
 }
 
-// after returns the element that follows last in a sorted list, cyclically.
-func after(hosts []core.HostID, last core.HostID) core.HostID {
+// nextHost returns the element that follows last in a sorted list, cyclically.
+func nextHost(hosts []core.HostID, last core.HostID) core.HostID {
 	for _, host := range hosts {
 		if host > last {
 			return host
@@ -125,9 +126,10 @@
 	return hosts[0]
 }
 
-// wanted answers with the chunks at hand. If some are not (this process has
-// moved on), the full head tells the peer what to ask for now.
-func (p *Part) wanted(from core.HostID, want core.ConfigWant) {
+// chunksRequested sends the requested chunks that are available. If some are not
+// because this process has a newer revision, it sends the full head, from which
+// the peer learns what to request instead.
+func (p *Part) chunksRequested(from core.HostID, want core.ConfigWant) {
 	missing := false
 	for _, hash := range want.Chunks[:min(len(want.Chunks), maxChunksAtOnce)] {
 		chunk, ok := p.chunks[hash]
@@ -142,9 +144,9 @@
 	}
 }
 
-func (p *Part) chunkArrived(from core.HostID, chunk core.ConfigChunk) {
+func (p *Part) chunkReceived(from core.HostID, chunk core.ConfigChunk) {
 	if p.fetch == nil || p.fetch.source.kv || !p.fetch.outstanding[chunk.Hash] {
 		return
 	}
-	p.collect(chunk.Hash, chunk.Data, sourcePeer)
+	p.storeChunk(chunk.Hash, chunk.Data, sourcePeer)
 }
--- a/internal/core/config/request.go
+++ b/internal/core/config/request.go
@@ -7,7 +7,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// request is an operator's change with its resources decoded, sorted by key.
+// request is an operator's change with its resources decoded and sorted by key.
 type request struct {
 	core.ApplyRequested
 	resources []api.Resource
@@ -15,7 +15,7 @@
 	err error
 }
 
-func readRequest(asked core.ApplyRequested) request {
+func decodeRequest(asked core.ApplyRequested) request {
 	r := request{ApplyRequested: asked}
 	if len(asked.Resources) > 0 {
 		r.resources, r.err = api.DecodeDocument(asked.Resources)
@@ -24,10 +24,10 @@
 	return r
 }
 
-// touched returns the numbers of the chunks that a change has to be planned
-// on, in order: those of the resources that it names. All are needed to prune,
-// and while the newest revision is not in force here, since what lies in the
-// other chunks is then known only from the chunks themselves.
+// touched returns the numbers of the chunks that a change has to be planned on,
+// in order: those of the resources that it names. All chunks are needed for
+// pruning, and while the newest revision is not in force here, since the content
+// of the other chunks is then available only from the chunks themselves.
 func (p *Part) touched(change request) []int {
 	named := map[int]bool{}
 	for _, r := range change.resources {
@@ -62,9 +62,9 @@
 	return api.DecodeDocument(assemble(hashes, p.chunks))
 }
 
-// checkOf returns the check of a plan made on some chunks. If those are not
-// all, the rest is in force here, and was checked before it came into force.
-func (p *Part) checkOf(numbers []int) func(plan) error {
+// checkFor returns the check for a plan made on some chunks. If those are not all
+// chunks, the others are in force here and were checked before.
+func (p *Part) checkFor(numbers []int) func(plan) error {
 	if len(numbers) == chunkCount {
 		return func(made plan) error { return api.Check(made.resources) }
 	}
--- a/internal/core/config/scenario_test.go
+++ b/internal/core/config/scenario_test.go
@@ -13,18 +13,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// TestScenarios runs the scripts of testdata/scenarios. A script's lines:
+// TestScenarios runs the scripts of testdata/scenarios. The commands of a script:
 //
 //	start HOST...             start processes; hosts named e* call the KV service
 //	connect A B, cut A B      make or break a connection
 //	apply HOST ID CHANGE...   post a change: MODEL=MEMORY[@RESOURCEVERSION]
 //	                          declares (with ! after MEMORY as batch), -MODEL
 //	                          deletes; ADAPTER:MODEL, -ADAPTER:; dryrun, prune
-//	kv FAULT...               down, up, wipe, down-after=WRITES, late (the lost
+//	kv FAULT...               down, up, wipe, down-after=WRITES, late (a lost
 //	                          write arrives), lose-head=taken|untaken|taken-down
-//	damage kv|HEAD|HOST       damage the KV's chunks, its head, or what HOST sends
-//	mute HOST                 lose what HOST sends, but for announcements
-//	run, trace                deliver everything; trace prints messages
+//	damage kv|HEAD|HOST       damage the KV's chunks, its head, or the chunks HOST sends
+//	mute HOST                 drop what HOST sends, except announcements
+//	run, trace                deliver all events; trace prints messages
 //	advance DURATION          let time pass
 //	state                     print what is in force where, and new KV reads
 func TestScenarios(t *testing.T) {
@@ -91,7 +91,7 @@
 		case "wipe":
 			kv.entries = map[string]kvEntry{}
 		case "late":
-			w.landLate()
+			w.deliverLateWrite()
 		case "down-after":
 			kv.downAfter, _ = strconv.Atoi(value)
 		case "lose-head":
@@ -117,8 +117,8 @@
 	}
 }
 
-// state prints one line for each configuration in force: its revision, and
-// each model's memory, generation and resourceVersion.
+// state logs one line for each configuration in force: its revision, and each
+// model's memory, generation and resourceVersion.
 func (w *world) state() {
 	inForce, reads := map[string]string{}, ""
 	for _, host := range core.SortedKeys(w.nodes) {
--- a/internal/core/config/snapshot.go
+++ b/internal/core/config/snapshot.go
@@ -9,71 +9,71 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Errors of a SnapshotBuilder, besides those of the declarations.
+// Errors of a SnapshotBuilder, in addition to those of invalid declarations.
 var (
-	ErrNoBase  = errors.New("the revision that a difference builds on is not kept")
-	ErrBadSize = errors.New("a patched configuration has another number of resources than its chunks")
+	ErrNoBase  = errors.New("the base revision of the difference is not cached")
+	ErrBadSize = errors.New("the patched configuration and its chunks differ in the number of resources")
 )
 
-// SnapshotBuilder is the shell's side of the part: it turns ConfigApplied into the
-// snapshot to put in force. It keeps the snapshots that the part may still
-// send a difference to; they share what did not change. The zero SnapshotBuilder is
-// ready. One goroutine uses it.
+// SnapshotBuilder builds, in the shell, the snapshot to put in force from a
+// ConfigApplied. It keeps the snapshots that later differences may build on;
+// they share unchanged resources. The zero value is ready to use. It is not safe
+// for concurrent use.
 type SnapshotBuilder struct {
-	kept []*api.Snapshot // by revision
+	snapshots []*api.Snapshot // in order of revision
 }
 
 // Apply checks a configuration and returns the event that reports it in force.
-// After an error what was in force stays.
+// On an error the configuration in force stays.
 func (k *SnapshotBuilder) Apply(applied core.ConfigApplied) (core.ConfigInForce, error) {
 	resources, err := api.DecodeDocument(applied.Document)
 	if err != nil {
 		return core.ConfigInForce{}, err
 	}
 	if applied.Base == 0 {
-		return k.whole(applied, resources)
+		return k.build(applied, resources)
 	}
-	k.kept = slices.DeleteFunc(k.kept, func(s *api.Snapshot) bool { return s.Revision < applied.Base })
-	if len(k.kept) == 0 || k.kept[0].Revision != applied.Base {
+	k.snapshots = slices.DeleteFunc(k.snapshots, func(s *api.Snapshot) bool { return s.Revision < applied.Base })
+	if len(k.snapshots) == 0 || k.snapshots[0].Revision != applied.Base {
 		return core.ConfigInForce{}, errors.Wrapf(ErrNoBase, "revision %d", applied.Base)
 	}
 	return k.patch(applied, resources)
 }
 
-func (k *SnapshotBuilder) whole(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
+func (k *SnapshotBuilder) build(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
 	snapshot, err := api.Build(applied.Revision, resources)
 	if err != nil {
 		return core.ConfigInForce{}, err
 	}
-	k.kept = []*api.Snapshot{snapshot}
+	k.snapshots = []*api.Snapshot{snapshot}
 	return core.ConfigInForce{Snapshot: snapshot}, nil
 }
 
-// patch builds on the base.
+// patch applies a difference to its base.
 //
-// Failure guarded against by the size: a chunk, written by a faulty process,
-// that holds one resource twice would show as daemons which patched having
-// another configuration in force than daemons which built it whole and refused
-// it. A second copy adds a line but no resource.
+// The size is compared because a chunk that a faulty process wrote may hold one
+// resource twice. Processes that build the whole configuration reject it, and
+// processes that patch would have it in force. A second copy adds a line but no
+// resource.
 func (k *SnapshotBuilder) patch(applied core.ConfigApplied, resources []api.Resource) (core.ConfigInForce, error) {
-	base := k.kept[0]
+	base := k.snapshots[0]
 	snapshot, err := base.Patch(applied.Revision, resources, applied.Deleted)
 	if err != nil {
 		return core.ConfigInForce{}, err
 	}
 	if snapshot.Size() != applied.Size {
-		return core.ConfigInForce{}, errors.Wrapf(ErrBadSize, "%d for %d", snapshot.Size(), applied.Size)
+		return core.ConfigInForce{}, errors.Wrapf(ErrBadSize, "%d resources, wanted %d", snapshot.Size(), applied.Size)
 	}
 	inForce := core.ConfigInForce{Snapshot: snapshot}
-	if len(k.kept) == 1 { // the base is what is in force
+	if len(k.snapshots) == 1 { // the base is in force
 		inForce.Changed = changedKeys(base, resources, applied.Deleted)
 	}
-	k.kept = append(k.kept, snapshot)
+	k.snapshots = append(k.snapshots, snapshot)
 	return inForce, nil
 }
 
-// changedKeys lists what a patch changes, with the adapters of changed models,
-// which may inherit from them.
+// changedKeys returns the keys that a patch changes, and the adapters of changed
+// models, which may inherit from them.
 func changedKeys(base *api.Snapshot, put []api.Resource, deleted []api.Key) []api.Key {
 	keys, models := slices.Clone(deleted), map[string]bool{}
 	for _, r := range put {
--- a/internal/core/config/world_test.go
+++ b/internal/core/config/world_test.go
@@ -14,20 +14,20 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// delivery is an event on its way to a node.
+// delivery is an event that waits to be delivered to a node.
 type delivery struct {
 	node  core.HostID
 	event core.Event
 }
 
-// node is a process: the part and a shell that puts in force what it assembles.
+// node is a process: the part, and a shell that puts the assembled revisions in force.
 type node struct {
 	part   *Part
 	keeper SnapshotBuilder
 	kv     bool
-	// corrupts makes every chunk that the node sends arrive damaged.
+	// corrupts is set if every chunk that the node sends arrives damaged.
 	corrupts bool
-	// mute loses what the node sends, but for announcements.
+	// mute is set if all messages of the node except announcements are lost.
 	mute     bool
 	snapshot *api.Snapshot
 	reads    int
@@ -38,22 +38,22 @@
 	revision int64
 }
 
-// fakeKV is a KV service with compare-and-swap and faults.
+// fakeKV is a KV service with compare-and-swap and injected faults.
 type fakeKV struct {
 	entries  map[string]kvEntry
 	revision int64
 	down     bool
-	// downAfter counts writes until the service goes down; -1 is never.
+	// downAfter is the number of writes until the service goes down; -1 is never.
 	downAfter int
-	// loseHead loses the answer of the next write of the head, which takes
-	// effect only with headTakesEffect. lostThenDown ends with an outage.
+	// loseHead drops the answer to the next write of the head, which takes
+	// effect only with headTakesEffect. With lostThenDown an outage follows.
 	loseHead, headTakesEffect, lostThenDown bool
-	// late is a lost write that may still arrive.
+	// late is a lost write that may still be delivered.
 	late *core.KVCas
 }
 
-// world is a set of nodes, their connections and one KV service. Deliveries
-// are made in the order in which they were caused.
+// world is a set of nodes, their connections and one KV service. Events are
+// delivered in the order in which they were posted.
 type world struct {
 	now   core.Time
 	nodes map[core.HostID]*node
@@ -64,7 +64,7 @@
 	log   strings.Builder
 	// answers holds the result of each change by its ID.
 	answers map[uint64]code.Code
-	// patched counts the configurations built from a difference.
+	// patched counts the configurations that were built from a difference.
 	patched int
 }
 
@@ -81,7 +81,7 @@
 	w.queue = append(w.queue, delivery{to, event})
 }
 
-// start runs a new process on a host; it forgets what an earlier one knew.
+// start starts a new process on a host, without the state of an earlier one.
 func (w *world) start(host core.HostID, kv bool) {
 	incarnation := core.Incarnation(len(w.nodes) + 1)
 	w.nodes[host] = &node{part: New(Config{KV: kv, Incarnation: incarnation}), kv: kv}
@@ -101,7 +101,7 @@
 	}
 }
 
-// run makes all deliveries, and those that they cause.
+// run delivers all events, including those that they cause.
 func (w *world) run() {
 	for len(w.queue) > 0 {
 		next := w.queue[0]
@@ -110,7 +110,7 @@
 	}
 }
 
-// advance passes time, with a tick for each node whenever it asks for one.
+// advance moves the clock forward and sends each node a tick whenever one is due.
 func (w *world) advance(d time.Duration) {
 	end := w.now.Add(d)
 	for {
@@ -137,11 +137,11 @@
 		comparePlans(w.nodes[host].part, asked)
 	}
 	for _, effect := range w.nodes[host].part.Step(w.now, event) {
-		w.carryOut(host, effect)
+		w.perform(host, effect)
 	}
 }
 
-// comparePlans checks that a plan made on some chunks is the one made on all.
+// comparePlans checks that a plan made on some chunks equals the one made on all.
 func comparePlans(p *Part, asked core.ApplyRequested) {
 	if !p.newestInForce() {
 		return
@@ -150,14 +150,14 @@
 	for number := range chunkCount {
 		all = append(all, number)
 	}
-	change := readRequest(asked)
+	change := decodeRequest(asked)
 	var plans [2]plan
 	for i, numbers := range [][]int{p.touched(change), all} {
 		current, err := p.decodeChunks(numbers)
 		if err != nil {
 			panic(err)
 		}
-		plans[i] = makePlan(current, change, p.newest.Revision+1, p.checkOf(numbers))
+		plans[i] = makePlan(current, change, p.newest.Revision+1, p.checkFor(numbers))
 	}
 	some, whole := plans[0], plans[1]
 	if some.code != whole.code || !cmp.Equal(some.problems, whole.problems) || !cmp.Equal(some.changes, whole.changes) {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (w *world) carryOut(host core.HostID, effect core.Effect) {
+func (w *world) perform(host core.HostID, effect core.Effect) {
 	n := w.nodes[host]
 	switch e := effect.(type) {
 	case core.Send:
@@ -197,8 +197,8 @@
 	}
 }
 
-// putInForce checks what the shell would, that nothing reverts, and that what
-// the shell built is what is built from scratch from the revision's chunks.
+// putInForce acts as the shell. It checks that no revision reverts, and that the
+// snapshot equals the one built from scratch from the revision's chunks.
 func (w *world) putInForce(host core.HostID, applied core.ConfigApplied) {
 	n := w.nodes[host]
 	inForce, err := n.keeper.Apply(applied)
@@ -209,7 +209,7 @@
 	if old != nil && old.Revision >= applied.Revision {
 		panic(fmt.Sprintf("%s reverts from %d to %d", host, old.Revision, applied.Revision))
 	}
-	whole := n.part.whole(applied.Revision)
+	whole := n.part.buildNewest(applied.Revision)
 	if diff := cmp.Diff(whole, inForce.Snapshot); diff != "" {
 		panic(fmt.Sprintf("%s at %d on %d: %s", host, applied.Revision, applied.Base, diff))
 	}
@@ -223,8 +223,8 @@
 	w.post(host, inForce)
 }
 
-// whole builds the part's newest revision from scratch.
-func (p *Part) whole(revision int64) *api.Snapshot {
+// buildNewest builds the part's newest revision from scratch.
+func (p *Part) buildNewest(revision int64) *api.Snapshot {
 	resources, err := api.DecodeDocument(assemble(p.newest.Chunks, p.chunks))
 	if err != nil {
 		panic(err)
@@ -236,8 +236,8 @@
 	return snapshot
 }
 
-// unlistedChange returns a resource that differs between two snapshots and is
-// not among the changed keys, or nil.
+// unlistedChange returns the key of a resource that differs between two snapshots
+// and is not among the changed keys, or nil.
 func unlistedChange(before, after *api.Snapshot, changed []api.Key) *api.Key {
 	if before == nil {
 		return nil
@@ -323,7 +323,7 @@
 	return core.KVResult{Tag: e.Tag, Key: e.Key, Revision: kv.revision}
 }
 
-// write stores a value and tells the watchers of the head.
+// write stores a value and publishes the head to its watchers.
 func (w *world) write(key string, value []byte) {
 	w.kv.revision++
 	w.kv.entries[key] = kvEntry{value, w.kv.revision}
@@ -343,8 +343,8 @@
 	w.publishHead()
 }
 
-// landLate has a lost write of the head arrive after all.
-func (w *world) landLate() {
+// deliverLateWrite delivers a lost write of the head after all.
+func (w *world) deliverLateWrite() {
 	if late := w.kv.late; late != nil && w.kv.entries[late.Key].revision == late.Revision {
 		w.write(late.Key, late.Value)
 	}
