--- a/internal/core/steward/layout.go
+++ b/internal/core/steward/adaptermax.go
@@ -6,16 +6,16 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Changes of a model's AdapterMax (labels of counters).
+// Values of the label "change" for changes of a model's AdapterMax.
 const (
 	changeAdaptersOff = "adapters off"
 	changeAdaptersOn  = "adapters on"
 )
 
-// layOut brings AdapterMax of each model's slots in line with its limit, after
-// the slots of the draft have been decided. See Slot.AdapterMax for the two
-// phases of a change.
-func (pl *planning) layOut() {
+// updateAdapterMax adapts AdapterMax of each model's slots to the model's limit,
+// after the slots of the draft have been decided. See Slot.AdapterMax for the
+// two phases of a change.
+func (pl *planRun) updateAdapterMax() {
 	if pl.snapshot == nil {
 		return
 	}
@@ -25,14 +25,14 @@
 			for to = from; to < len(d.table.Slots) && d.table.Slots[to].ID.Model == d.table.Slots[from].ID.Model; {
 				to++
 			}
-			pl.layOutModel(d, d.table.Slots[from:to])
+			pl.updateModel(d, d.table.Slots[from:to])
 		}
 	}
 }
 
-// layOutModel does the next thing for the slots of one model, those included
+// updateModel takes the next step for the slots of one model, including those
 // that are to be dropped: their owners may still hold adapters.
-func (pl *planning) layOutModel(d *draft, slots []core.Slot) {
+func (pl *planRun) updateModel(d *draft, slots []core.Slot) {
 	model := pl.snapshot.Models[slots[0].ID.Model]
 	if model == nil {
 		return // its slots are being dropped
@@ -49,16 +49,16 @@
 	}
 }
 
-// uniform tells whether all slots of a model are at the same point of a change.
-// A table that this version did not write may have them differ.
+// uniform reports whether all slots of a model are in the same phase of a change.
+// They may differ in a table that another version wrote.
 func uniform(slots []core.Slot) bool {
 	return !slices.ContainsFunc(slots, func(s core.Slot) bool {
 		return s.AdapterMax != slots[0].AdapterMax || s.AdapterEpoch != slots[0].AdapterEpoch
 	})
 }
 
-// setAdapterMax gives the slots of a model a new AdapterMax, under an epoch
-// that none of them had.
+// setAdapterMax sets AdapterMax of a model's slots, with an epoch higher than
+// those of all of them.
 func setAdapterMax(slots []core.Slot, most uint16) {
 	var epoch uint64
 	for _, s := range slots {
@@ -69,22 +69,23 @@
 	}
 }
 
-// allCleared tells whether no owner of the model's slots has an adapter loaded,
-// nor will have until AdapterMax is set.
-func (pl *planning) allCleared(slots []core.Slot) bool {
+// allCleared reports whether no owner of the model's slots has an adapter loaded,
+// or will load one before AdapterMax is set.
+func (pl *planRun) allCleared(slots []core.Slot) bool {
 	return !slices.ContainsFunc(slots, func(s core.Slot) bool { return !pl.cleared(s) })
 }
 
-// cleared tells whether the owner reported the slot cleared in its present
+// cleared reports whether the owner reported the slot cleared in its current
 // state.
 //
-// Failure: the limit goes 1, 2, 3 in short order, and the report that answered
-// the first change is taken to answer the second, though the owner has loaded
-// adapters in between; or a new process takes over a slot whose engine still
-// holds adapters, on its predecessor's word. They stand beside the copies that
-// the next count puts elsewhere. Guard: incarnation, generation and epoch must
-// be those of the slot. A slot that changes hands has a new generation in the
-// draft, so its new owner has to speak first.
+// Incarnation, generation and epoch must be those of the slot. Otherwise, if the
+// limit changes from 1 to 2 to 3 in quick succession, a report that answered the
+// first change could be taken for an answer to the second one, although the owner
+// has loaded adapters in between; or a new process that takes over a slot whose
+// engine still holds adapters could be covered by its predecessor's report. Those
+// adapters would be loaded beside the copies that the next count places elsewhere.
+// A slot that changes its owner has a new generation in the draft, so its new
+// owner has to report first.
 func (p *Part) cleared(s core.Slot) bool {
 	h := p.hosts[s.Owner]
 	return h != nil && h.report.Incarnation == s.Incarnation &&
@@ -93,10 +94,10 @@
 		})
 }
 
-// newLayout gives a slot that is created the state of the model's other slots,
-// or the wanted AdapterMax when there are none: all earlier ones were dropped
-// with proof that nothing of them is loaded.
-func (pl *planning) newLayout(d *draft, s core.Slot) core.Slot {
+// withAdapterMax gives a new slot the AdapterMax and epoch of the model's other
+// slots, or the limit when there are none: all earlier ones were dropped with
+// proof that nothing of them is loaded.
+func (pl *planRun) withAdapterMax(d *draft, s core.Slot) core.Slot {
 	for _, other := range d.table.Slots {
 		if other.ID.Model == s.ID.Model {
 			s.AdapterMax, s.AdapterEpoch = other.AdapterMax, other.AdapterEpoch
@@ -107,7 +108,7 @@
 	return s
 }
 
-// clearedChanged tells whether a report says something new of cleared slots.
+// clearedChanged reports whether two reports differ in the cleared slots.
 func clearedChanged(old, report core.Report) bool {
 	return !slices.Equal(old.Cleared, report.Cleared)
 }
--- a/internal/core/steward/layout_test.go
+++ b/internal/core/steward/adaptermax_test.go
@@ -11,24 +11,24 @@
 // adapterTime is how long a fake engine takes to unload a slot's adapters.
 const adapterTime = 300 * time.Millisecond
 
-// layoutAfter is a granted slot with the newest AdapterMax that the agent was
-// told of, whatever order the Grants came in.
-func layoutAfter(known, granted core.Slot) core.Slot {
+// newestAdapterMax returns a granted slot with the newest AdapterMax that the agent
+// has received, whatever the order of the Grants.
+func newestAdapterMax(known, granted core.Slot) core.Slot {
 	if known.Generation == granted.Generation && known.AdapterEpoch > granted.AdapterEpoch {
 		granted.AdapterMax, granted.AdapterEpoch = known.AdapterMax, known.AdapterEpoch
 	}
 	return granted
 }
 
-// orderAdapters has the engine load adapters on each slot that allows them and whose base
-// it has loaded, and unload those that were loaded over another count.
+// orderAdapters makes the engine load adapters on each slot that allows them and whose
+// base it has loaded, and unload those that were loaded over another count.
 func (a *agent) orderAdapters(now core.Time) {
 	for _, id := range sortedIDs(a.engine.adapters) {
 		s, held := a.slots[id]
 		off, asked := a.adaptersOff[id]
 		switch {
 		case !a.engine.loaded[id]:
-			delete(a.engine.adapters, id) // they go with their base
+			delete(a.engine.adapters, id) // unloaded with their base
 		case a.revision == 0, held && s.AdapterMax == a.engine.adapters[id]:
 			delete(a.adaptersOff, id)
 		case !asked:
@@ -59,7 +59,7 @@
 	return ids
 }
 
-// cleared lists the slots on which no adapter is loaded nor allowed.
+// cleared returns the slots on which adapters are neither loaded nor allowed.
 func (a *agent) cleared(now core.Time) []core.Slot {
 	var cleared []core.Slot
 	for _, s := range sortedSlots(a.slots) {
@@ -70,15 +70,15 @@
 	return cleared
 }
 
-// checkAdapters: never adapters of a model loaded over two counts, whoever
-// still runs at the engines.
+// checkAdapters checks that adapters of a model are never loaded over two counts,
+// whether or not the agents of their engines run.
 func (w *world) checkAdapters() {
 	counts, at := map[string]uint16{}, map[string]core.HostID{}
 	for _, host := range core.SortedKeys(w.agents) {
 		adapters := w.agents[host].engine.adapters
 		for _, id := range sortedIDs(adapters) {
-			if other, known := counts[id.Model]; known && other != adapters[id] && w.wrong == "" {
-				w.wrong = fmt.Sprintf("at %v: adapters of %s over %d at %s and over %d at %s",
+			if other, known := counts[id.Model]; known && other != adapters[id] && w.violation == "" {
+				w.violation = fmt.Sprintf("at %v: adapters of %s over %d at %s and over %d at %s",
 					time.Duration(w.now), id.Model, other, at[id.Model], adapters[id], host)
 			}
 			counts[id.Model], at[id.Model] = adapters[id], host
@@ -86,24 +86,24 @@
 	}
 }
 
-// checkLayout: in one table, all slots of a model that allow adapters have the
-// same count.
+// checkLayout checks that in one table all slots of a model that allow adapters
+// have the same count.
 func (w *world) checkLayout(table core.SlotTable) {
 	counts := map[string]uint16{}
 	for _, s := range table.Slots {
 		if other := counts[s.ID.Model]; s.AdapterMax != 0 && other != 0 && other != s.AdapterMax {
-			w.wrong = fmt.Sprintf("adapters of %s over %d and %d in one table", s.ID.Model, other, s.AdapterMax)
+			w.violation = fmt.Sprintf("adapters of %s over %d and %d in one table", s.ID.Model, other, s.AdapterMax)
 		}
 		counts[s.ID.Model] = max(counts[s.ID.Model], s.AdapterMax)
 	}
 }
 
-// A history that TestFaults drew once: an idle agent, which loads nothing until it is
-// called, is killed, its engine is asked to evict what it may hold, and the limit is lowered.
-// The stand-in of an engine had loaded adapters without their base, which no engine does;
-// the eviction passed them over, as nothing was loaded, and adapters over two counts seemed
-// to stand beside each other.
-func TestIdleAgentLeavesNoAdaptersBehind(t *testing.T) {
+// An idle agent, which loads nothing until it is called, is killed, its engine is asked
+// to evict what it may hold, and the limit is lowered. This guards against a fault of the
+// fake engine found by TestFaults: it loaded adapters without their base, which no engine
+// does. The eviction skipped them, as no base was loaded, and adapters seemed to be loaded
+// over two counts.
+func TestIdleAgentLoadsNoAdapters(t *testing.T) {
 	w := newWorld(testTimings(), 1)
 	for i := range 4 {
 		w.addAgent(core.HostID(fmt.Sprintf("a%d", i)), core.Zone(fmt.Sprintf("z%d", i%2)))
@@ -119,7 +119,7 @@
 	w.run(w.timings.Tenure + 10*time.Second)
 	w.configure(map[string]int{"m": 1, "n": 3})
 	w.run(10 * time.Second)
-	if w.wrong != "" {
-		t.Error(w.wrong)
+	if w.violation != "" {
+		t.Error(w.violation)
 	}
 }
--- a/internal/core/steward/bench_test.go
+++ b/internal/core/steward/bench_test.go
@@ -8,8 +8,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// benchWorld is one steward before many hosts in eight zones, two slots each
-// by models of eight slots, with the default timings.
+// benchWorld returns a world of one steward and many hosts in eight zones, two
+// slots each by models of eight slots, with the default timings.
 func benchWorld(hosts int) *world {
 	w := newWorld(core.DefaultTimings(), 1)
 	w.quiet = true
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkPlan is one look at all slot tables when nothing changes.
+// BenchmarkPlan measures one pass over all slot tables when nothing changes.
 func BenchmarkPlan(b *testing.B) {
 	w := benchWorld(3125)
 	for b.Loop() {
@@ -57,7 +57,7 @@
 	}
 }
 
-// BenchmarkKVCalls counts KV calls in ten quiet minutes.
+// BenchmarkKVCalls counts the KV calls in ten minutes without changes.
 func BenchmarkKVCalls(b *testing.B) {
 	for _, hosts := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/core/steward/chunk.go
+++ b/internal/core/steward/chunk.go
@@ -10,17 +10,17 @@
 
 // chunk is the view of one chunk of the slot table.
 type chunk struct {
-	cell
-	table   core.SlotTable // slots by model and index
+	keyView
+	table   core.SlotTable // slots sorted by model and index
 	byOwner map[core.HostID][]core.Slot
 }
 
 func (p *Part) newChunk(number int) *chunk {
 	c := &chunk{}
 	c.key = core.KeySlotsPrefix + strconv.Itoa(number)
-	c.wroteAt = -core.Time(minWriteGap)
+	c.wroteAt = -core.Time(minWriteInterval)
 	c.apply = func(now core.Time, value []byte) error { return p.applyChunk(now, c, value) }
-	c.again = p.planSoon
+	c.retry = p.planSoon
 	return c
 }
 
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// grantChanged tells the agents whose slots differ between two views.
+// grantChanged sends a Grant to the agents whose slots differ between two views.
 func (p *Part) grantChanged(now core.Time, old, new map[core.HostID][]core.Slot) {
 	for _, id := range core.SortedKeys(old) {
 		if h := p.hosts[id]; h != nil && !slices.Equal(old[id], new[id]) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// tablesKnown tells whether every chunk has been seen.
+// tablesKnown reports whether every chunk has been read or watched.
 func (p *Part) tablesKnown() bool {
 	for _, c := range p.chunks {
 		if !c.known {
@@ -72,7 +72,7 @@
 	return true
 }
 
-// namedInTables tells whether any slot has or awaits the host as owner.
+// namedInTables reports whether any slot has the host as owner or next owner.
 func (p *Part) namedInTables(id core.HostID) bool {
 	for _, c := range p.chunks {
 		for _, s := range c.table.Slots {
--- a/internal/core/steward/connection_test.go
+++ b/internal/core/steward/connection_test.go
@@ -7,10 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// An agent loses its slots though it lives and is reachable. The entry part
-// held the connection already when the steward came to ask for reports, so no
-// PeerUp told the steward of it: it never asked, and the tenure ran out. The
-// same happens to a host that is missing from the platform's list for once.
+// An agent must not lose its slots although it is alive and reachable. If the entry
+// part already holds the connection when the steward starts to collect reports, no
+// PeerUp follows: without a Hello the agent does not report, and its tenure ends.
+// The same applies to a host that is missing from the platform's list once.
 func TestConnectionHeldByEntryPart(t *testing.T) {
 	manager := peers.New(1)
 	manager.Acquire(peers.Entry, "a1", "a1:1")
--- a/internal/core/steward/counters.go
+++ b/internal/core/steward/counters.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	counterOffices core.Counter = "steward_offices_total"
-	counterWrites  core.Counter = "steward_writes_total"
-	counterFences  core.Counter = "steward_fences_total"
-	counterSlots   core.Counter = "steward_slot_changes_total"
-	counterStray   core.Counter = "steward_stray_reports_total"
-	counterRedials core.Counter = "steward_redials_total"
-	counterEvicts  core.Counter = "steward_evictions_total"
+	counterElections core.Counter = "steward_offices_total"
+	counterWrites    core.Counter = "steward_writes_total"
+	counterFences    core.Counter = "steward_fences_total"
+	counterSlots     core.Counter = "steward_slot_changes_total"
+	counterStray     core.Counter = "steward_stray_reports_total"
+	counterRedials   core.Counter = "steward_redials_total"
+	counterEvicts    core.Counter = "steward_evictions_total"
 )
 
-// Counters returns the counters that the part emits.
+// Counters returns the definitions of the counters that the part emits.
 func (p *Part) Counters() []core.CounterDef { return Counters() }
 
-// Counters returns the counters that a steward part emits.
+// Counters returns the definitions of the counters that a steward part emits.
 func Counters() []core.CounterDef {
 	return []core.CounterDef{
-		{Name: counterOffices, Help: "Times this process came to the steward's office."},
+		{Name: counterElections, Help: "Times this process came to the steward's office."},
 		{Name: counterWrites, Help: "Compare-and-swap writes answered.", Labels: []string{"key", "outcome"}},
 		{Name: counterFences, Help: "Roster entries marked fenced.", Labels: []string{"proof"}},
 		{Name: counterSlots, Help: "Slot changes decided.", Labels: []string{"change"}},
--- a/internal/core/steward/dump.go
+++ b/internal/core/steward/dump.go
@@ -2,13 +2,13 @@
 
 import "nutmeglane.example/nutmeglane/internal/core"
 
-// State is the part's state dump.
+// State is the part's state dump, which the operators' API and metrics read.
 type State struct {
 	InOffice   bool   `json:"inOffice"`
 	Collecting bool   `json:"collecting"`
 	Steward    string `json:"steward,omitempty"`
 	KVUp       bool   `json:"kvUp"`
-	// Agents by host, from the rosters and the host list.
+	// Agents holds the agents by host, from the rosters and the host list.
 	Agents map[core.HostID]AgentState `json:"agents,omitempty"`
 	Slots  []core.Slot                `json:"slots,omitempty"`
 }
@@ -23,16 +23,16 @@
 	Incarnation core.Incarnation `json:"incarnation,omitempty"`
 	Sequence    uint64           `json:"sequence,omitempty"`
 	Reported    uint64           `json:"reported,omitempty"`
-	// Evictions of the fenced agent's models, from its engine.
+	// Evictions are those of the fenced agent's models from its engine.
 	Evictions []EvictionState `json:"evictions,omitempty"`
 }
 
 // Dump implements core.Part.
 func (p *Part) Dump() any {
 	state := State{
-		InOffice:   p.office.held,
-		Collecting: p.office.collecting,
-		Steward:    string(p.office.record.Host),
+		InOffice:   p.election.held,
+		Collecting: p.election.collecting,
+		Steward:    string(p.election.record.Host),
 		KVUp:       p.kvUp,
 		Agents:     make(map[core.HostID]AgentState, len(p.hosts)),
 	}
--- a/internal/core/steward/engines_test.go
+++ b/internal/core/steward/engines_test.go
@@ -12,17 +12,17 @@
 
 // fakeEngine is the engine of a host. Only orders change what it holds.
 type fakeEngine struct {
-	// loaded holds the slots under which something is loaded.
+	// loaded holds the slots for which something is loaded.
 	loaded map[core.SlotID]bool
 	// adapters holds the slots with adapters, and the count over which their
 	// agent hashed them.
 	adapters map[core.SlotID]uint16
-	// mute engines can't be reached.
-	mute bool
+	// unreachable is set if the engine can't be reached.
+	unreachable bool
 }
 
-// orderLoads has the engine load each slot that the agent holds, and unload
-// all else once the agent knows its slots.
+// orderLoads makes the engine load each slot that the agent holds, and unload
+// everything else once the agent has received its slots.
 func (a *agent) orderLoads(now core.Time) {
 	for id := range a.engine.loaded {
 		if !a.holds(now, id) && (a.revision != 0 || now.Sub(a.startedAt) >= inventoryTime) {
@@ -37,8 +37,8 @@
 	a.orderAdapters(now)
 }
 
-// wake ends a pause: the process first reads what reached it meanwhile.
-func (a *agent) wake(now core.Time) {
+// resume ends a pause: the process first handles the Grants that arrived meanwhile.
+func (a *agent) resume(now core.Time) {
 	a.paused = false
 	for _, g := range a.waiting {
 		a.take(now, g)
@@ -46,13 +46,13 @@
 	a.waiting = nil
 }
 
-// evict carries out an Evict, unless the engine or its host can't be reached.
+// evict performs an Evict, unless the engine or its host can't be reached.
 func (w *world) evict(e *entry, order core.Evict) {
 	a, result := w.agents[order.Host], code.OK
 	switch {
 	case order.URL != "http://"+string(order.Host):
-		w.wrong = fmt.Sprintf("eviction at %q of %s", order.URL, order.Host)
-	case a.cut || a.engine.mute:
+		w.violation = fmt.Sprintf("eviction at %q of %s", order.URL, order.Host)
+	case a.cut || a.engine.unreachable:
 		result = code.EngineUnknown
 	default:
 		for id := range a.engine.loaded {
@@ -66,23 +66,23 @@
 	e.inbox = append(e.inbox, core.EvictDone{Tag: order.Tag, Code: result})
 }
 
-// checkLoaded: never a slot loaded at two engines, whoever still runs there.
+// checkLoaded checks that no slot is loaded at two engines, whether or not their agents run.
 func (w *world) checkLoaded() {
 	at := map[core.SlotID]core.HostID{}
 	for _, host := range core.SortedKeys(w.agents) {
 		for id := range w.agents[host].engine.loaded {
-			if other, twice := at[id]; twice && w.wrong == "" {
-				w.wrong = fmt.Sprintf("at %v: slot %v loaded at %s and %s", time.Duration(w.now), id, other, host)
+			if other, twice := at[id]; twice && w.violation == "" {
+				w.violation = fmt.Sprintf("at %v: slot %v loaded at %s and %s", time.Duration(w.now), id, other, host)
 			}
 			at[id] = host
 		}
 	}
 }
 
-// An agent that is alone in its availability zone is paused past its tenure and
-// fenced, and wakes. Nothing is written to its zone's roster any more; it must
-// hear all the same that it is fenced, or its host stays without slots for good.
-func TestFencedAgentAloneInZoneHearsIt(t *testing.T) {
+// An agent that is alone in its availability zone is paused past its tenure,
+// fenced, and resumes. Its zone's roster is not written any more; without a Grant
+// that reports the fence, its host would stay without slots permanently.
+func TestFencedAgentAloneInZoneIsNotified(t *testing.T) {
 	w, _, _ := guardWorld(t)
 	a := w.agents["a1"]
 	w.disturb("halt", a, 0)
@@ -94,6 +94,6 @@
 	w.disturb("continue", a, 0)
 	w.run(20 * time.Second)
 	if log := strings.Join(w.log, "\n"); !strings.Contains(log, "grants a1.101 tenure=0s") {
-		t.Fatalf("not told:\n%s", log)
+		t.Fatalf("no Grant without tenure:\n%s", log)
 	}
 }
--- a/internal/core/steward/evict.go
+++ b/internal/core/steward/evict.go
@@ -10,14 +10,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Windows of jitter before an eviction that failed is asked for again. They
-// double from the first to the last.
+// Windows of jitter before a failed eviction is repeated. The window doubles from
+// the first to the last.
 const (
 	firstEvictWindow = 2 * time.Second
 	maxEvictWindow   = time.Minute
 )
 
-// evictionKey names what a fenced process may have left at its engine.
+// evictionKey identifies a model that a fenced process may have left in its engine.
 type evictionKey struct {
 	host        core.HostID
 	incarnation core.Incarnation
@@ -26,48 +26,48 @@
 
 // eviction is the unload of one model at a fenced owner's engine.
 //
-// Failure: an agent is paused, or dies for good, while its engine has a model
-// loaded. The end of its tenure proves that it orders no more loads, but not
-// that the engine has unloaded; were the slot moved, a second replica would be
-// loaded beside the first. Guard: the engine itself must have said that it
-// holds nothing of the model. The answer stays true, because the process is
-// fenced for good and its last orders are over (see engine.Evictor), and
-// because a newer process on the host gets the slot only by a write of the
-// chunk, which makes that of a steward that did not see it fail.
+// An agent may be paused, or die, while its engine has a model loaded. The end of
+// its tenure proves that it orders no more loads, but not that the engine has
+// unloaded; moving the slot then would load a second replica beside the first.
+// Therefore the engine itself must confirm that it holds nothing of the model.
+// The confirmation stays valid: the process is fenced permanently and its last
+// orders have expired (see engine.Evictor). A newer process on the host gets the
+// slot only by a write of the chunk, which makes the write of a steward that did
+// not see it fail.
 type eviction struct {
-	// tag is that of the Evict under way; 0 for none.
+	// tag is the tag of the open Evict; 0 for none.
 	tag      uint64
 	done     bool
 	failures int
 	retryAt  core.Time
-	// neededAt is the step of the last plan that found the slot held up.
-	neededAt uint64
+	// neededStep is the step of the last plan in which the slot waited for it.
+	neededStep uint64
 }
 
-func keyOf(s core.Slot) evictionKey { return evictionKey{s.Owner, s.Incarnation, s.ID.Model} }
+func evictionKeyOf(s core.Slot) evictionKey { return evictionKey{s.Owner, s.Incarnation, s.ID.Model} }
 
-// evicted tells whether the engine of a fenced owner said, in this office, that
-// it has nothing of the slot's model.
+// evicted reports whether the engine of a fenced owner has confirmed, since this
+// process became the steward, that it has nothing of the slot's model.
 func (p *Part) evicted(s core.Slot) bool {
-	e := p.evictions[keyOf(s)]
+	e := p.evictions[evictionKeyOf(s)]
 	if e == nil {
 		return false
 	}
-	e.neededAt = p.step
+	e.neededStep = p.step
 	return e.done
 }
 
-// evict asks the engine of a fenced owner to unload a slot's model, unless it
-// is being asked or failed a short while ago. Whoever comes to office asks
-// anew: what another steward heard is not known, and asking is idempotent.
+// evict asks the engine of a fenced owner to unload a slot's model, unless a call
+// is open or failed recently. A new steward asks again: the answers that its
+// predecessor got are not stored, and the call is idempotent.
 func (p *Part) evict(now core.Time, s core.Slot, fence uint64) {
-	key := keyOf(s)
+	key := evictionKeyOf(s)
 	e := p.evictions[key]
 	if e == nil {
 		e = &eviction{}
 		p.evictions[key] = e
 	}
-	e.neededAt = p.step
+	e.neededStep = p.step
 	url := p.hosts[s.Owner].entry.Backend
 	switch {
 	case e.tag != 0 || url == "":
@@ -88,7 +88,7 @@
 			return
 		}
 	}
-	// Another office asked, or the slot has an answer by now.
+	// Requested before this process last became the steward, or not needed any more.
 }
 
 func (p *Part) takeEvictDone(now core.Time, key evictionKey, e *eviction, result code.Code) {
@@ -110,11 +110,11 @@
 	p.planAt = min(p.planAt, e.retryAt)
 }
 
-// forgetEvictions drops those that the plan at this step had no use for: the
-// slot moved, its host is gone, or a new process took over.
-func (p *Part) forgetEvictions() {
+// dropUnneededEvictions drops the evictions that the plan at this step did not
+// use: the slot moved, its host is gone, or a new process took over.
+func (p *Part) dropUnneededEvictions() {
 	for key, e := range p.evictions {
-		if e.neededAt != p.step {
+		if e.neededStep != p.step {
 			delete(p.evictions, key)
 		}
 	}
--- a/internal/core/steward/fakes_test.go
+++ b/internal/core/steward/fakes_test.go
@@ -22,7 +22,7 @@
 	ttl                            map[int64]time.Duration
 	revision, calls, writes, bytes int64
 	down                           bool
-	// lose is the number of writes to come whose answers are lost.
+	// lose is the number of next writes whose answers are lost.
 	lose    int
 	changed func(key string, it item)
 }
@@ -102,11 +102,11 @@
 	mgr   *peers.Manager
 	inbox []core.Event
 	conns map[core.HostID]core.Incarnation
-	// paused: nothing is stepped; the inbox fills.
+	// paused: no events are handled; the inbox fills.
 	paused bool
 	// frozen: the pause stops the clock too, as suspending a machine does, so
-	// that the process wakes believing that its lease still runs. lost is the
-	// time that its clock is behind.
+	// that the process resumes with a lease that looks valid. lost is the time
+	// by which its clock is behind.
 	frozen bool
 	lost   time.Duration
 	// stalled: writes stay in flight; lagging: the watch delivers nothing.
@@ -117,12 +117,12 @@
 
 // agent is a simple model of the agent's side of the protocol.
 type agent struct {
-	host             core.Host
-	incarnation      core.Incarnation
-	sequence         uint64
-	revision         int64
-	alive, cut, left bool
-	// drift stretches the tenure as a slow clock does.
+	host                core.Host
+	incarnation         core.Incarnation
+	sequence            uint64
+	revision            int64
+	alive, cut, leaving bool
+	// drift extends the tenure as a slow clock does.
 	drift       time.Duration
 	startedAt   core.Time
 	reportAt    core.Time
@@ -135,12 +135,12 @@
 	subscribers map[*entry]bool
 	memory      int64
 	cached      []core.CachedCheckpoint
-	// engine is what runs beside the process and outlives it.
+	// engine runs beside the process and outlives it.
 	engine *fakeEngine
-	// paused: the process does nothing; Grants that reach it wait.
+	// paused: the process does nothing; Grants that arrive are queued.
 	paused  bool
 	waiting []core.Grant
-	// idle agents load only the slots called, and say so by Status.
+	// idle agents load only the slots in called, and report that by Status.
 	idle    bool
 	called  map[core.SlotID]bool
 	crowded []core.SlotID
@@ -156,7 +156,7 @@
 	}
 }
 
-// holds tells whether the agent believes that it may have the slot loaded.
+// holds reports whether the agent assumes that it may have the slot loaded.
 func (a *agent) holds(now core.Time, id core.SlotID) bool {
 	_, ok := a.slots[id]
 	return ok && a.alive && now < a.tenureEnd
@@ -168,7 +168,7 @@
 	delete(a.sent, a.sequence-100)
 	return core.Report{
 		Sequence: a.sequence, Host: a.host.ID, Incarnation: a.incarnation, Zone: a.host.Zone,
-		Address: a.host.Address, Kind: core.BackendEngine, MemoryMiB: a.memory, Leaving: a.left,
+		Address: a.host.Address, Kind: core.BackendEngine, MemoryMiB: a.memory, Leaving: a.leaving,
 		Inventoried: now.Sub(a.startedAt) >= inventoryTime, Released: slices.Clone(a.released), Cached: a.cached,
 		Backend: "http://" + string(a.host.ID), Cleared: a.cleared(now), Crowded: a.crowded,
 	}
@@ -207,9 +207,9 @@
 	a.slots = map[core.SlotID]core.Slot{}
 	for _, s := range g.Slots {
 		if slices.ContainsFunc(a.released, func(r core.Slot) bool { return r.ID == s.ID && r.Generation == s.Generation }) {
-			continue // by a stale Grant, or one that the release crossed
+			continue // a stale Grant, or one sent before the release arrived
 		}
-		s = layoutAfter(before[s.ID], s)
+		s = newestAdapterMax(before[s.ID], s)
 		if s.AdapterMax == 0 && s != before[s.ID] {
 			a.reportAt = now
 		}
--- a/internal/core/steward/guards_test.go
+++ b/internal/core/steward/guards_test.go
@@ -7,8 +7,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// guardWorld is a world with a steward in office and one agent that owns m/0.
-// change rewrites a KV value as another steward would.
+// guardWorld returns a world with a steward and one agent that owns m/0. change
+// rewrites a KV value as another steward would.
 func guardWorld(t *testing.T) (w *world, e *entry, change func(key string, value any)) {
 	w = newWorld(testTimings(), 1)
 	w.addAgent("a1", "z")
@@ -34,20 +34,20 @@
 	return r.Entries[0]
 }
 
-// A steward holds reports of a process that was replaced while its connection
-// went silent; another steward recorded the new process. The old report must
-// not put the dead process back, or the live one would lose its slots.
-func TestDeadIncarnationIsNotPutBack(t *testing.T) {
+// A steward holds reports of a process that was replaced after its connection
+// went silent, and another steward recorded the new process. The old report must
+// not restore the dead process, or the live one would lose its slots.
+func TestDeadIncarnationIsNotRestored(t *testing.T) {
 	w, e, change := guardWorld(t)
 	a := w.agents["a1"]
-	a.cut = true // the process is gone; its last report is still to be read
+	a.cut = true // the process is gone; its last report is not handled yet
 	entry := w.rosterEntry(t)
 	entry.Incarnation, entry.Sequence = 999, 1
 	change(core.KeyRosterPrefix+"z", core.Roster{Zone: "z", Entries: []core.RosterEntry{entry}})
 	e.inbox = append(e.inbox, core.Received{From: "a1", Message: a.report(w.now)})
 	w.run(5 * time.Second)
 	if got := w.rosterEntry(t).Incarnation; got != 999 {
-		t.Fatalf("incarnation %d is back in place of 999", got)
+		t.Fatalf("incarnation %d replaced 999", got)
 	}
 	a.cut = false // a process that answers a new dial is the newest
 	w.run(20 * time.Second)
@@ -56,9 +56,9 @@
 	}
 }
 
-// The watch shows a slot given to a new process before it shows the roster
-// that names the process. Compared with the old roster the slot seems to be a
-// dead process' and would be taken back from the live one.
+// The watch shows a slot assigned to a new process before it shows the roster with
+// that process. Compared with the old roster the slot seems to belong to a dead
+// process and would be taken from the live one.
 func TestOldRosterDoesNotTakeOver(t *testing.T) {
 	w, e, change := guardWorld(t)
 	w.agents["a1"].cut = true
@@ -66,7 +66,7 @@
 	entry.Incarnation, entry.Sequence = 999, 1
 	e.lagging = true
 	change(core.KeyRosterPrefix+"z", core.Roster{Zone: "z", Entries: []core.RosterEntry{entry}})
-	e.watch = nil // the roster's news is late
+	e.watch = nil // the roster's change is late
 	slot := core.Slot{ID: core.SlotID{Model: "m"}, Owner: "a1", Incarnation: 999, Generation: 2, State: core.SlotOwned}
 	key := w.entries[0].part.chunks[core.SlotChunk("m")].key
 	change(key, core.SlotTable{Slots: []core.Slot{slot}})
@@ -78,9 +78,9 @@
 	}
 }
 
-// A steward wakes with an old report while the roster holds a newer renewal.
-// Writing the old Sequence would make a living agent look unrenewed, or a
-// renewal look new that is not.
+// A steward resumes with an old report while the roster holds a newer renewal.
+// Writing the old Sequence would make a live agent look unrenewed, or an old
+// renewal look new.
 func TestSequenceNeverFalls(t *testing.T) {
 	w, _, change := guardWorld(t)
 	entry := w.rosterEntry(t)
@@ -92,9 +92,9 @@
 	}
 }
 
-// An agent that was fenced reports again: its slots may be elsewhere, so its
-// entry must stay fenced until another process takes its place.
-func TestFenceIsNeverTakenBack(t *testing.T) {
+// A fenced agent reports again: its slots may be assigned elsewhere, so its
+// entry must stay fenced until another process replaces it.
+func TestFenceIsPermanent(t *testing.T) {
 	w, _, change := guardWorld(t)
 	entry := w.rosterEntry(t)
 	entry.Fenced = true
@@ -105,8 +105,8 @@
 	}
 }
 
-// A slot table whose write was decided but whose answer was lost is read back:
-// the view must be what the service holds, not what was meant.
+// The answer to a write of a slot table is lost. The table is read back: the view
+// must be what the service holds, not what was sent.
 func TestUnknownWriteIsReadBack(t *testing.T) {
 	w, e, _ := guardWorld(t)
 	w.kv.lose = 1
@@ -119,21 +119,21 @@
 	}
 }
 
-// A limit changed twice in short order, or its slot changed hands, and a report
-// arrives that called the slot cleared before. Its owner may have loaded
-// adapters since, so they must not be allowed over the new count; the same word
-// for the slot as it is allows them.
-func TestOldClearedDoesNotCount(t *testing.T) {
+// A limit is changed twice in quick succession, or its slot gets another owner, and
+// a report arrives that listed the slot as cleared before. Its owner may have loaded
+// adapters since, so they must not be allowed over the new count; a report that
+// lists the slot in its current state allows them.
+func TestOutdatedClearedReportIsIgnored(t *testing.T) {
 	w, e, change := guardWorld(t)
 	a := w.agents["a1"]
 	slot := core.Slot{
 		ID: core.SlotID{Model: "m"}, Owner: "a1", Incarnation: a.incarnation,
 		Generation: 7, State: core.SlotOwned, AdapterEpoch: 5,
 	}
-	a.cut = true // its own reports stay away
+	a.cut = true // its own reports are lost
 	change(e.part.chunks[core.SlotChunk("m")].key, core.SlotTable{Slots: []core.Slot{slot}})
 	report := a.report(w.now)
-	say := func(incarnation core.Incarnation, cleared core.Slot) {
+	setReport := func(incarnation core.Incarnation, cleared core.Slot) {
 		t.Helper()
 		report.Sequence++
 		report.Incarnation, report.Cleared = incarnation, []core.Slot{cleared}
@@ -145,14 +145,14 @@
 	epoch.AdapterEpoch--
 	generation.Generation--
 	for _, old := range []core.Slot{epoch, generation} {
-		if say(a.incarnation, old); allowed() {
+		if setReport(a.incarnation, old); allowed() {
 			t.Fatalf("%+v counted for %+v", old, slot)
 		}
 	}
-	if say(a.incarnation-1, slot); allowed() {
-		t.Fatal("the word of another process counted")
+	if setReport(a.incarnation-1, slot); allowed() {
+		t.Fatal("the report of another process counted")
 	}
-	if say(a.incarnation, slot); !allowed() {
-		t.Fatal("the owner's word did not count")
+	if setReport(a.incarnation, slot); !allowed() {
+		t.Fatal("the owner's report did not count")
 	}
 }
--- a/internal/core/steward/hosts.go
+++ b/internal/core/steward/hosts.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// silentReports is the number of missed reports after which an agent gets
-	// no new slots, and its absence from the host list is believed.
-	silentReports = 3
-	// neverListedWait is how long a host that this process never saw in the
+	// maxMissedReports is the number of missed reports after which an agent gets
+	// no new slots, and its absence from the host list is acted on.
+	maxMissedReports = 3
+	// neverListedTimeout is how long a host that this process never saw in the
 	// host list must stay absent before it counts as reclaimed: the list may
-	// lag behind a new host too.
-	neverListedWait = 2 * time.Minute
-	// redialGap is the least time between two redials of one host to learn
-	// which of two incarnations is the newest.
-	redialGap = 10 * time.Second
+	// also lag behind a new host.
+	neverListedTimeout = 2 * time.Minute
+	// minRedialInterval is the minimum time between two redials of one host, which
+	// determine which of two incarnations is the newest.
+	minRedialInterval = 10 * time.Second
 )
 
-// hostState is all that is known of one host.
+// hostState is the state that this process keeps of one host.
 type hostState struct {
 	id core.HostID
 
@@ -33,35 +33,36 @@
 	listLeaving bool
 	absentSince core.Time
 
-	// The connection. dialledAt is a step no later than the dial it came from.
+	// The connection. dialStep is a step no later than the dial that opened it.
 	up          bool
 	incarnation core.Incarnation
-	dialledAt   uint64
-	// needed is set when this part asked for the connection.
-	needed      bool
-	lastDownAt  uint64
-	redialAfter core.Time
+	dialStep    uint64
+	// acquired is set when this part has acquired the connection.
+	acquired     bool
+	lastDownStep uint64
+	redialAfter  core.Time
 
 	// The newest report of the connected incarnation.
 	report     core.Report
 	reportedAt core.Time
-	// joinedAt is when that incarnation's first report came after a silence.
-	joinedAt core.Time
-	// load is from the newest Status on the connection.
+	// reportingSince is when that incarnation's first report after a silence arrived.
+	reportingSince core.Time
+	// load is taken from the newest Status on the connection.
 	load load
 
-	// The roster entry in view. entryAt is the step at which its incarnation
-	// was first seen, unchangedSince when incarnation and Sequence were.
+	// The roster entry that was last seen. entryStep is the step at which its
+	// incarnation was first seen, unchangedSince the time at which its
+	// incarnation, Sequence and Fenced last changed.
 	entry          core.RosterEntry
 	hasEntry       bool
-	entryAt        uint64
+	entryStep      uint64
 	unchangedSince core.Time
 
-	granted granted
+	lastGrant sentGrant
 }
 
-// granted is the last Grant sent.
-type granted struct {
+// sentGrant records the last Grant sent to a host.
+type sentGrant struct {
 	incarnation core.Incarnation
 	sequence    uint64
 	slots       []core.Slot
@@ -78,14 +79,14 @@
 
 func (h *hostState) leaving() bool { return h.listLeaving || h.entry.Leaving || h.report.Leaving }
 
-// reporting tells whether the connected process' report is at hand.
+// reporting reports whether a report of the connected process is available.
 func (h *hostState) reporting() bool {
 	return h.up && h.report.Incarnation != 0 && h.report.Incarnation == h.incarnation
 }
 
-// silent tells whether the agent has missed several reports.
+// silent reports whether the agent has missed several reports.
 func (p *Part) silent(now core.Time, h *hostState) bool {
-	limit := silentReports * p.config.Timings.ReportInterval
+	limit := maxMissedReports * p.config.Timings.ReportInterval
 	return h.report.Incarnation == 0 || now.Sub(h.reportedAt) > limit
 }
 
@@ -113,7 +114,7 @@
 	}
 	h.zone, h.address, h.listed, h.everListed, h.listLeaving = line.Zone, line.Address, true, true, leaving
 	p.rosterOf(line.Zone)
-	if p.office.collecting {
+	if p.election.collecting {
 		p.connect(now, h)
 	}
 }
@@ -134,38 +135,38 @@
 
 func (p *Part) connect(now core.Time, h *hostState) {
 	effects := p.peers.Acquire(peers.Steward, h.id, h.address)
-	h.needed = true
+	h.acquired = true
 	p.emit(effects...)
 	switch {
 	case len(effects) > 0:
-		h.lastDownAt, h.up = p.step, false
+		h.lastDownStep, h.up = p.step, false
 	case !h.up && p.peers.Up(h.id):
-		// Guard: the entry part holds the connection already, so no PeerUp
-		// follows; without this, the agent would never be asked for reports
-		// and lose its slots with its tenure.
-		h.up, h.incarnation, h.dialledAt = true, p.peers.Incarnation(h.id), h.lastDownAt
-		p.hello(h.id, p.office.collecting)
+		// The entry part already holds the connection, so no PeerUp follows.
+		// Without this, the agent would never be asked for reports, and would
+		// lose its slots at the end of its tenure.
+		h.up, h.incarnation, h.dialStep = true, p.peers.Incarnation(h.id), h.lastDownStep
+		p.hello(h.id, p.election.collecting)
 	}
 }
 
-// disconnect ends a connection that this part asked for.
+// disconnect releases a connection that this part acquired.
 func (p *Part) disconnect(h *hostState) {
-	if !h.needed {
+	if !h.acquired {
 		return
 	}
-	h.needed = false
+	h.acquired = false
 	effects := p.peers.Release(peers.Steward, h.id)
-	if len(effects) > 0 { // else the entry part keeps the connection
-		h.up, h.lastDownAt = false, p.step
+	if len(effects) > 0 { // otherwise the entry part keeps the connection
+		h.up, h.lastDownStep = false, p.step
 	}
 	p.emit(effects...)
 }
 
 func (p *Part) onPeerUp(now core.Time, ev core.PeerUp) {
 	h := p.hostOf(ev.Peer)
-	h.up, h.incarnation, h.dialledAt = true, ev.Incarnation, h.lastDownAt
+	h.up, h.incarnation, h.dialStep = true, ev.Incarnation, h.lastDownStep
 	h.load = load{}
-	if p.office.collecting {
+	if p.election.collecting {
 		p.hello(h.id, true)
 	}
 	if h.hasEntry && h.zone != "" && h.entry.Incarnation != ev.Incarnation {
@@ -178,27 +179,27 @@
 	if h.up {
 		p.planSoon(now) // it may be the next owner of a slot
 	}
-	h.up, h.lastDownAt = false, p.step
+	h.up, h.lastDownStep = false, p.step
 }
 
-// newest tells whether the connected process is proved to be newer than the
-// one that the roster names: its connection was dialled after the roster's
-// entry was seen, and a host runs one process of the system, which binds the
-// host's address. Without that proof it asks for a new connection.
+// provedNewest reports whether the connected process is proved to be newer than
+// the one in the roster: its connection was dialled after the roster's entry was
+// seen, and a host runs one process of the system, which binds the host's
+// address. Without that proof it requests a new connection.
 //
-// Guard: a steward that was paused may hold a report of an incarnation that
-// died meanwhile, while another steward recorded the live one. Taking the
-// report for news would hand the live one's slots to the dead.
-func (p *Part) newest(now core.Time, h *hostState) bool {
-	if h.dialledAt >= h.entryAt {
+// A steward that was paused may hold a report of an incarnation that died in the
+// meantime, while another steward recorded the live one. Accepting that report
+// would assign the slots of the live incarnation to the dead one.
+func (p *Part) provedNewest(now core.Time, h *hostState) bool {
+	if h.dialStep >= h.entryStep {
 		return true
 	}
 	if now >= h.redialAfter {
-		h.redialAfter = now.Add(redialGap)
+		h.redialAfter = now.Add(minRedialInterval)
 		p.count(counterRedials)
 		effects := p.peers.Redial(h.id)
-		if len(effects) > 0 { // else a dial begun before is under way
-			h.up, h.lastDownAt = false, p.step
+		if len(effects) > 0 { // otherwise an earlier dial is still open
+			h.up, h.lastDownStep = false, p.step
 		}
 		p.emit(effects...)
 	}
@@ -217,10 +218,10 @@
 }
 
 func (p *Part) startCollecting(now core.Time) {
-	if p.office.collecting {
+	if p.election.collecting {
 		return
 	}
-	p.office.collecting = true
+	p.election.collecting = true
 	p.peers.SetCollecting(true)
 	for _, id := range core.SortedKeys(p.hosts) {
 		h := p.hosts[id]
@@ -233,17 +234,17 @@
 	}
 }
 
-// stopCollecting tells the agents that another steward wants their reports,
-// and forgets the reports held.
+// stopCollecting ends the agents' reports to this process, since another
+// process is the steward, and drops the reports held.
 func (p *Part) stopCollecting() {
-	if !p.office.collecting {
+	if !p.election.collecting {
 		return
 	}
-	p.office.collecting = false
+	p.election.collecting = false
 	p.peers.SetCollecting(false)
 	for _, id := range core.SortedKeys(p.hosts) {
 		h := p.hosts[id]
-		h.report, h.granted = core.Report{}, granted{}
+		h.report, h.lastGrant = core.Report{}, sentGrant{}
 		if h.up {
 			p.hello(id, false)
 		}
@@ -252,7 +253,7 @@
 
 func (p *Part) onReport(now core.Time, report core.Report) {
 	h := p.hosts[report.Host]
-	if h == nil || !p.office.collecting || !h.up || report.Incarnation != h.incarnation {
+	if h == nil || !p.election.collecting || !h.up || report.Incarnation != h.incarnation {
 		return
 	}
 	old := h.report
@@ -265,13 +266,13 @@
 	}
 	silent := p.silent(now, h)
 	if silent || old.Incarnation != report.Incarnation {
-		h.joinedAt = now
+		h.reportingSince = now
 	}
 	h.report, h.reportedAt = report, now
 	if h.entry.Fenced {
-		// Guard: a fenced entry is not written again, so no view of the
-		// roster answers the report. An agent alone in its zone would never
-		// hear that it is fenced, and stay without slots for good.
+		// A fenced entry is not written again, so no change of the roster triggers
+		// an answer to the report. Without a Grant here, an agent alone in its zone
+		// would never learn that it is fenced, and would stay without slots.
 		p.grant(now, h)
 	}
 	if urgent(h, report) {
@@ -282,7 +283,7 @@
 	}
 }
 
-// urgent tells whether the roster should not wait for its next regular write.
+// urgent reports whether a report should not wait for the next regular write of the roster.
 func urgent(h *hostState, r core.Report) bool {
 	e := h.entry
 	return !h.hasEntry || e.Incarnation != r.Incarnation || e.Leaving != r.Leaving || e.Address != r.Address
--- a/internal/core/steward/plan.go
+++ b/internal/core/steward/plan.go
@@ -8,29 +8,29 @@
 	"nutmeglane.example/nutmeglane/internal/core/placement"
 )
 
-// planSoon asks for a look at the slot tables after a short delay.
+// planSoon schedules a plan of the slot tables after a short delay.
 func (p *Part) planSoon(now core.Time) {
-	p.planAt = min(p.planAt, max(now.Add(urgentDelay), p.plannedAt.Add(minWriteGap)))
+	p.planAt = min(p.planAt, max(now.Add(urgentDelay), p.plannedAt.Add(minWriteInterval)))
 }
 
-// planning is one look at all slot tables.
-type planning struct {
+// planRun is one pass over all slot tables.
+type planRun struct {
 	*Part
 	now     core.Time
 	wanted  map[core.SlotID]placement.Slot
 	planner *placement.Planner
-	// settled is set once enough is known of the agents to place slots.
+	// settled is set once enough agents have reported to place slots.
 	settled bool
 	drafts  [core.SlotChunks]draft
-	// needs are slots without a live owner or next owner.
+	// needs are the slots without a live owner or next owner.
 	needs []need
 }
 
-// draft is a chunk as it should be.
+// draft is the intended content of a chunk.
 type draft struct {
 	table   core.SlotTable
 	present map[core.SlotID]bool
-	// changes names what differs from the chunk in view, for the counters.
+	// changes lists the differences from the chunk last seen, for the counters.
 	changes []string
 }
 
@@ -40,32 +40,32 @@
 	slot     placement.Slot
 	chunk    int
 	position int
-	// moving is set when the slot has an owner to wait for: only Next is set.
+	// moving is set when the slot has an owner that must release it first: only Next is set.
 	moving bool
 }
 
-// plan decides the changes of all slot tables and writes those that differ.
+// plan decides the changes of all slot tables and writes the tables that differ.
 func (p *Part) plan(now core.Time) {
 	p.planAt = now.Add(p.config.Timings.RosterInterval)
 	if !p.tablesKnown() {
-		return // each table that comes into view asks for a plan
+		return // each table schedules a plan when it is read
 	}
 	p.plannedAt = now
-	pl := &planning{Part: p, now: now, wanted: p.wantedSlots(), settled: p.settled(now)}
+	pl := &planRun{Part: p, now: now, wanted: p.wantedSlots(), settled: p.settled(now)}
 	pl.planner = placement.New(p.candidates(now))
 	for i, c := range p.chunks {
 		pl.review(i, c)
 	}
-	p.forgetEvictions()
+	p.dropUnneededEvictions()
 	switch {
 	case !pl.settled:
-		p.planAt = min(p.planAt, p.office.since.Add(settleTime))
+		p.planAt = min(p.planAt, p.election.heldSince.Add(settleTime))
 	case p.snapshot != nil:
 		pl.addMissing()
 		pl.place()
 		pl.rebalance()
 	}
-	pl.layOut()
+	pl.updateAdapterMax()
 	for i, c := range p.chunks {
 		if len(pl.drafts[i].changes) > 0 {
 			p.writeChunk(now, c, pl.drafts[i])
@@ -74,18 +74,18 @@
 }
 
 func (p *Part) writeChunk(now core.Time, c *chunk, d draft) {
-	if !p.ready(now, &c.cell) {
-		p.planAt = min(p.planAt, max(c.retryAt, now.Add(minWriteGap)))
+	if !p.ready(now, &c.keyView) {
+		p.planAt = min(p.planAt, max(c.retryAt, now.Add(minWriteInterval)))
 		return
 	}
 	for _, change := range d.changes {
 		p.count(counterSlots, change)
 	}
 	p.note("slots changed", "key", c.key, "changes", strconv.Itoa(len(d.changes)))
-	p.write(now, &c.cell, d.table, 0)
+	p.write(now, &c.keyView, d.table, 0)
 }
 
-// wantedSlots returns the slots that the configuration decides.
+// wantedSlots returns the slots that the configuration requires.
 func (p *Part) wantedSlots() map[core.SlotID]placement.Slot {
 	if p.snapshot == nil {
 		return nil
@@ -106,7 +106,7 @@
 	return wanted
 }
 
-// candidates are the hosts that can take slots.
+// candidates returns the hosts that can be assigned slots.
 func (p *Part) candidates(now core.Time) []placement.Host {
 	var hosts []placement.Host
 	for _, id := range core.SortedKeys(p.hosts) {
@@ -125,10 +125,10 @@
 		h.report.Inventoried && !p.silent(now, h)
 }
 
-// settled tells whether all listed hosts have reported, or were waited for.
-// Guard: the first agents to report must not be given all slots.
+// settled reports whether all listed hosts have reported or settleTime has
+// passed. Otherwise the first agents to report would be assigned all slots.
 func (p *Part) settled(now core.Time) bool {
-	if now.Sub(p.office.since) >= settleTime {
+	if now.Sub(p.election.heldSince) >= settleTime {
 		return true
 	}
 	for _, h := range p.hosts {
@@ -144,37 +144,37 @@
 	return h.hasEntry && r.Incarnation != 0 && (r.Inventoried || r.Kind != core.BackendEngine)
 }
 
-// review goes through the slots of a chunk.
-func (pl *planning) review(number int, c *chunk) {
+// review processes the slots of a chunk.
+func (pl *planRun) review(number int, c *chunk) {
 	d := &pl.drafts[number]
 	d.present = make(map[core.SlotID]bool, len(c.table.Slots))
 	d.table.DroppedGeneration = c.table.DroppedGeneration
 	for _, s := range c.table.Slots {
-		standing := pl.standing(pl.now, c, s)
+		standing := pl.ownerStatusOf(pl.now, c, s)
 		switch standing {
 		case ownerReplaced:
-			s, standing = pl.takeOver(d, s), ownerHolds
-		case ownerLingers:
+			s, standing = pl.takeOver(d, s), ownerMayHold
+		case ownerFencedNotUnloaded:
 			pl.evict(pl.now, s, pl.nextGeneration(d, s.ID.Model))
 		}
 		_, wanted := pl.wanted[s.ID]
 		if !wanted && pl.snapshot != nil {
-			if standing == ownerReleased || standing == ownerFenced {
+			if standing == ownerReleased || standing == ownerFencedUnloaded {
 				d.drop(s)
 				continue
 			}
-			s = d.askRelease(s)
+			s = d.requestRelease(s)
 		}
 		d.present[s.ID] = true
 		d.table.Slots = append(d.table.Slots, s)
-		pl.locate(number, len(d.table.Slots)-1, standing)
+		pl.occupyHosts(number, len(d.table.Slots)-1, standing)
 	}
 }
 
-// takeOver gives the slot to the new process on its host. The engine there may
-// hold the replica still, so nobody else can follow; the new process takes an
-// inventory before it does anything.
-func (pl *planning) takeOver(d *draft, s core.Slot) core.Slot {
+// takeOver assigns the slot to the new process on its host. The engine there may
+// still hold the replica, so no other host can be the next owner; the new process
+// takes an inventory before it does anything else.
+func (pl *planRun) takeOver(d *draft, s core.Slot) core.Slot {
 	s.Incarnation = pl.hosts[s.Owner].entry.Incarnation
 	s.Generation = pl.nextGeneration(d, s.ID.Model)
 	s.State, s.Next = core.SlotOwned, ""
@@ -187,8 +187,8 @@
 	d.changes = append(d.changes, "dropped")
 }
 
-// askRelease has the slot dropped once its owner has released it.
-func (d *draft) askRelease(s core.Slot) core.Slot {
+// requestRelease marks the slot to be dropped once its owner has released it.
+func (d *draft) requestRelease(s core.Slot) core.Slot {
 	if s.State != core.SlotReleasing || s.Next != "" {
 		s.State, s.Next = core.SlotReleasing, ""
 		d.changes = append(d.changes, "releasing")
@@ -196,20 +196,20 @@
 	return s
 }
 
-// locate occupies the hosts of a slot, or notes that it needs one. A slot that
-// is being released counts at both ends: its memory is taken at the owner and
-// will be at the next.
-func (pl *planning) locate(number, position int, standing ownerStanding) {
+// occupyHosts records the hosts of a slot in the planner, or that it needs one. A
+// slot that is being released counts at both hosts: it occupies memory at the
+// owner and will do so at the next one.
+func (pl *planRun) occupyHosts(number, position int, standing ownerStatus) {
 	s := pl.drafts[number].table.Slots[position]
 	slot, wanted := pl.wanted[s.ID]
 	if !wanted {
 		slot.ID = s.ID
 	}
-	free := standing == ownerReleased || standing == ownerFenced
+	free := standing == ownerReleased || standing == ownerFencedUnloaded
 	if !free {
 		pl.planner.Occupy(slot, s.Owner)
 	}
-	if !wanted || standing == ownerUnclear {
+	if !wanted || standing == ownerUnknown {
 		return
 	}
 	owner := pl.hosts[s.Owner]
@@ -217,7 +217,7 @@
 	case s.State == core.SlotReleasing && pl.planner.Has(s.Next):
 		pl.planner.Occupy(slot, s.Next)
 		if free {
-			pl.handOver(number, position, s.Next)
+			pl.assign(number, position, s.Next)
 		}
 	case free:
 		pl.needs = append(pl.needs, need{slot: slot, chunk: number, position: position})
@@ -226,13 +226,13 @@
 	}
 }
 
-// addMissing notes the decided slots that are in no table.
+// addMissing records the required slots that are in no table.
 //
-// Failure: a limit is lowered while a slot below it happens to be vacant. Were
-// that slot placed at once, it would stand beside those above the limit that
-// their owners have not released yet: more slots than decided. Guard: a model
-// gets new slots only up to its limit, those still to be dropped included.
-func (pl *planning) addMissing() {
+// If a limit is lowered while a slot below it is vacant, placing that slot at once
+// would add it to those above the limit that their owners have not released yet:
+// more slots than the limit. A model therefore gets new slots only up to its
+// limit, counting those that are still to be dropped.
+func (pl *planRun) addMissing() {
 	for _, name := range core.SortedKeys(pl.snapshot.Models) {
 		number, limit := core.SlotChunk(name), pl.snapshot.Models[name].Spec.Replicas.Max
 		room := limit
@@ -251,46 +251,45 @@
 	}
 }
 
-// place finds hosts for all slots that need one, in a fixed order.
-func (pl *planning) place() {
+// place finds hosts for all slots that need one, in a deterministic order.
+func (pl *planRun) place() {
 	slices.SortFunc(pl.needs, func(a, b need) int { return placement.Compare(a.slot, b.slot) })
-	hosts := make([]core.HostID, len(pl.needs)) // "" where none fits
+	hosts := make([]core.HostID, len(pl.needs)) // "" if no host fits
 	for i, n := range pl.needs {
 		hosts[i], _ = pl.planner.Place(n.slot)
 	}
-	pl.evenOut(hosts)
+	pl.improvePlacement(hosts)
 	var vacant []need
 	for i, n := range pl.needs {
 		switch host := hosts[i]; {
 		case host == "" && n.position >= 0 && !n.moving:
 			vacant = append(vacant, n)
 		case host == "":
-			// The slot stays as it is; the next look tries again.
+			// The slot stays as it is; the next plan tries again.
 		case n.position < 0:
 			pl.create(n, host)
 		case n.moving:
 			pl.startMove(n, host)
 		default:
-			pl.handOver(n.chunk, n.position, host)
+			pl.assign(n.chunk, n.position, host)
 		}
 	}
-	pl.vacate(vacant)
+	pl.dropUnplaced(vacant)
 	for i := range pl.drafts {
 		slices.SortFunc(pl.drafts[i].table.Slots, compareSlots)
 	}
 }
 
-// evenRounds bounds the looks at the places chosen in one plan.
-const evenRounds = 4
+// maxImproveRounds limits the passes over the hosts chosen in one plan.
+const maxImproveRounds = 4
 
-// evenOut improves places that were chosen in this plan and are not written
-// yet.
+// improvePlacement improves choices of this plan that are not written yet.
 //
-// Failure: slots are placed one after the other, so that a later one presses
-// the host of an earlier one, which rebalancing would then move right after it
-// was written. Guard: before the write a change costs nothing.
-func (pl *planning) evenOut(hosts []core.HostID) {
-	for range evenRounds {
+// Slots are placed one after the other, so a later one may raise the pressure on
+// the host of an earlier one, which rebalancing would then move right after it was
+// written. Before the write a change costs nothing.
+func (pl *planRun) improvePlacement(hosts []core.HostID) {
+	for range maxImproveRounds {
 		changed := false
 		for i, n := range pl.needs {
 			if hosts[i] == "" {
@@ -308,16 +307,16 @@
 	}
 }
 
-// nextGeneration is above the generation of every slot of the model in the
-// committed table, and of every dropped slot. Slots that change in one write go
-// to different hosts and may share a number.
+// nextGeneration returns a generation above that of every slot of the model in
+// the committed table, and of every dropped slot. Slots that change in one write
+// go to different hosts and may share a generation.
 //
-// Failure: engines keep one fencing number for each checkpoint, whatever the
-// slot's index. A host that had m/0 at 9 and is given m/1 at 3 would have all
-// its orders refused. A slot that is dropped and comes back would repeat a
-// number. Guard: the numbers of a model grow together, in the one chunk that
-// is changed by compare-and-swap.
-func (pl *planning) nextGeneration(d *draft, model string) uint64 {
+// Engines keep one fencing number for each checkpoint, whatever the slot's index.
+// With a separate sequence for each slot, a host that had m/0 at 9 and is assigned
+// m/1 at 3 would have all its orders rejected, and a slot that is dropped and
+// created again would repeat a number. The generations of a model therefore
+// increase together, in the one chunk that is changed by compare-and-swap.
+func (pl *planRun) nextGeneration(d *draft, model string) uint64 {
 	highest := d.table.DroppedGeneration
 	for _, s := range pl.chunks[core.SlotChunk(model)].table.Slots {
 		if s.ID.Model == model {
@@ -327,12 +326,12 @@
 	return highest + 1
 }
 
-// vacate takes slots out of the tables that nobody owns any more and that fit
-// on no host. A later look places them like new ones.
+// dropUnplaced removes slots from the tables that have no owner any more and fit
+// on no host. A later plan places them like new ones.
 //
-// Failure: kept as released, such a slot has the host that leaves wait for a
-// successor that does not exist, until its limit.
-func (pl *planning) vacate(needs []need) {
+// If such a slot were kept as released, a leaving host would wait until its limit
+// for a next owner that does not exist.
+func (pl *planRun) dropUnplaced(needs []need) {
 	for _, n := range needs {
 		d := &pl.drafts[n.chunk]
 		for i, s := range d.table.Slots {
@@ -345,26 +344,26 @@
 	}
 }
 
-// create adds a slot.
-func (pl *planning) create(n need, host core.HostID) {
+// create adds a slot to the draft.
+func (pl *planRun) create(n need, host core.HostID) {
 	d := &pl.drafts[n.chunk]
-	d.table.Slots = append(d.table.Slots, pl.newLayout(d, core.Slot{
+	d.table.Slots = append(d.table.Slots, pl.withAdapterMax(d, core.Slot{
 		ID: n.slot.ID, Owner: host, Incarnation: pl.hosts[host].entry.Incarnation,
 		Generation: pl.nextGeneration(d, n.slot.ID.Model), State: core.SlotOwned,
 	}))
 	d.changes = append(d.changes, "created")
 }
 
-// startMove asks the owner to release the slot to the host.
-func (pl *planning) startMove(n need, host core.HostID) {
+// startMove marks the slot to be released by its owner to the host.
+func (pl *planRun) startMove(n need, host core.HostID) {
 	d := &pl.drafts[n.chunk]
 	s := &d.table.Slots[n.position]
 	s.State, s.Next = core.SlotReleasing, host
 	d.changes = append(d.changes, "releasing")
 }
 
-// handOver makes the host the owner, of the next generation.
-func (pl *planning) handOver(number, position int, host core.HostID) {
+// assign makes the host the owner, with the next generation.
+func (pl *planRun) assign(number, position int, host core.HostID) {
 	d := &pl.drafts[number]
 	s := &d.table.Slots[position]
 	s.Owner, s.Incarnation = host, pl.hosts[host].entry.Incarnation
--- a/internal/core/steward/proof.go
+++ b/internal/core/steward/proof.go
@@ -6,18 +6,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Proofs that an agent can't have a slot loaded (labels of counters and notes).
+// Proofs that an agent can't have a slot loaded, for counters and log notes.
 const (
 	proofHostGone   = "host gone"
 	proofTenureOver = "tenure over"
 )
 
-// fenceProof returns why the agent may be marked fenced, or "".
+// fenceProof returns the proof by which the agent may be marked fenced, or "".
 func (p *Part) fenceProof(now core.Time, h *hostState) string {
 	switch {
 	case p.inGrace(now):
-		// Guard: after an outage, or a change of office, the entries are old
-		// because nobody wrote, not because the agents died.
+		// After an outage, or a change of the steward, the entries are old because
+		// no process wrote them, not because the agents died.
 		return ""
 	case p.hostGone(now, h):
 		return proofHostGone
@@ -28,51 +28,53 @@
 	}
 }
 
-// hostGone believes the host list only while the agent is silent: a list that
-// was read wrongly must not take slots from agents that report.
+// hostGone reports whether the host was reclaimed. The host list is relied on only
+// while the agent is silent: a list that was read incorrectly must not remove
+// slots from agents that report.
 func (p *Part) hostGone(now core.Time, h *hostState) bool {
 	if !p.listSeen || h.listed || h.up && !p.silent(now, h) {
 		return false
 	}
-	return h.everListed || now.Sub(h.absentSince) >= neverListedWait
+	return h.everListed || now.Sub(h.absentSince) >= neverListedTimeout
 }
 
-// tenureOver is by this steward's own clock since it first saw the entry as it
-// is. The agent's tenure began before the entry was written, so it is over by
-// then, drift and late orders included (TenureMargin). A renewal written
-// meanwhile by another steward makes the compare-and-swap of the fence fail.
+// tenureOver reports whether the agent's tenure has ended, by this process's clock
+// since it first saw the entry in its current state. The tenure began before the
+// entry was written, so it has ended by then, including clock drift and late orders
+// (TenureMargin). If another steward writes a renewal in the meantime, the
+// compare-and-swap of the fence fails.
 func (p *Part) tenureOver(now core.Time, h *hostState) bool {
 	t := p.config.Timings
 	return now.Sub(h.unchangedSince) >= t.Tenure+t.TenureMargin
 }
 
-// forgotten tells whether the entry of a fenced agent can be removed: the host
-// is gone, no slot names it, and every tenure is long over.
-func (p *Part) forgotten(now core.Time, h *hostState) bool {
+// removable reports whether the entry of a fenced agent can be removed: the host
+// is gone, no slot refers to it, and its tenure has ended.
+func (p *Part) removable(now core.Time, h *hostState) bool {
 	return !h.listed && !h.up && p.tenureOver(now, h) && !p.namedInTables(h.id)
 }
 
-// ownerStanding is what the roster says of a slot's owner.
-type ownerStanding uint8
+// ownerStatus is the status of a slot's owner according to the roster.
+type ownerStatus uint8
 
 const (
-	// ownerHolds: no proof; the owner may have the slot loaded.
-	ownerHolds ownerStanding = iota
-	// ownerUnclear: the roster in view may be older than the slot table.
-	ownerUnclear
+	// ownerMayHold: no proof; the owner may have the slot loaded.
+	ownerMayHold ownerStatus = iota
+	// ownerUnknown: the roster last seen may be older than the slot table.
+	ownerUnknown
 	// ownerReleased: the owner released this generation.
 	ownerReleased
-	// ownerLingers: the roster marks the owner fenced, but its engine may
-	// still have the slot loaded.
-	ownerLingers
-	// ownerFenced: the owner is fenced, and its engine is gone or empty of
-	// the model.
-	ownerFenced
+	// ownerFencedNotUnloaded: the roster marks the owner fenced, but its engine
+	// may still have the slot loaded.
+	ownerFencedNotUnloaded
+	// ownerFencedUnloaded: the owner is fenced, and its engine is gone or holds
+	// nothing of the model.
+	ownerFencedUnloaded
 	// ownerReplaced: another incarnation runs on the owner's host.
 	ownerReplaced
 )
 
-func (p *Part) standing(now core.Time, c *chunk, s core.Slot) ownerStanding {
+func (p *Part) ownerStatusOf(now core.Time, c *chunk, s core.Slot) ownerStatus {
 	h := p.hosts[s.Owner]
 	if h == nil {
 		h = &hostState{}
@@ -82,20 +84,20 @@
 		case released(h, s):
 			return ownerReleased
 		case h.entry.Fenced && (p.hostGone(now, h) || p.evicted(s)):
-			return ownerFenced
+			return ownerFencedUnloaded
 		case h.entry.Fenced:
-			return ownerLingers
+			return ownerFencedNotUnloaded
 		default:
-			return ownerHolds
+			return ownerMayHold
 		}
 	}
-	// Guard: the roster in view names another incarnation, or none, perhaps
-	// because it is older than the chunk. See rule 2(3) of the package.
-	if !p.rosterReadSince(h.zone, c.seenAt) {
-		return ownerUnclear
+	// The roster last seen names another incarnation, or none, perhaps because it
+	// is older than the chunk. See rule 2(3) of the package comment.
+	if !p.rosterReadSince(h.zone, c.seenStep) {
+		return ownerUnknown
 	}
 	if !h.hasEntry {
-		return ownerFenced // entries are removed only after the fence
+		return ownerFencedUnloaded // entries are removed only after the fence
 	}
 	return ownerReplaced
 }
@@ -107,14 +109,14 @@
 		})
 }
 
-// rosterReadSince tells whether the zone's roster was read after a step, and
-// asks for a read if not. A host of unknown zone is in none of the rosters:
-// then all must have been read.
+// rosterReadSince reports whether the zone's roster was read after a step, and
+// schedules a read if not. A host of unknown zone is in none of the rosters, so
+// all of them must have been read.
 func (p *Part) rosterReadSince(zone core.Zone, step uint64) bool {
 	fresh := true
 	for _, r := range p.rosters {
-		if (zone == "" || r.zone == zone) && r.readAt <= step {
-			r.unread, fresh = true, false
+		if (zone == "" || r.zone == zone) && r.readStep <= step {
+			r.mustRead, fresh = true, false
 		}
 	}
 	return fresh
--- a/internal/core/steward/property_test.go
+++ b/internal/core/steward/property_test.go
@@ -10,9 +10,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// TestFaults draws histories of faults over three stewards and four agents.
-// After each step of time, no slot may be held twice nor loaded at two engines,
-// and no generation may shrink. An engine keeps what it holds while its agent is
+// TestFaults generates sequences of faults for three stewards and four agents.
+// After each step of time, no slot may be held twice or loaded at two engines,
+// and no generation may decrease. An engine keeps what it holds while its agent is
 // paused or dead. After the faults end, every slot has a live owner that may load it.
 func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -26,11 +26,11 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			w.randomFault(t)
 			w.run(time.Duration(rapid.SampledFrom([]int{50, 100, 400, 1500, 6000, 23000}).Draw(t, "ms")) * time.Millisecond)
-			if w.wrong != "" {
-				t.Fatal(w.wrong)
+			if w.violation != "" {
+				t.Fatal(w.violation)
 			}
 		}
-		w.heal()
+		w.endFaults()
 		w.run(3*w.timings.Tenure + 30*time.Second)
 		w.checkHealed(t)
 	})
@@ -62,7 +62,7 @@
 	}
 }
 
-// bringBack starts a process on a host that has none, listed again.
+// bringBack starts a process on a host that has none, and lists the host again.
 func (w *world) bringBack(a *agent) {
 	if a.alive {
 		return
@@ -78,7 +78,7 @@
 	w.sendList()
 }
 
-func (w *world) heal() {
+func (w *world) endFaults() {
 	for _, e := range w.entries {
 		e.paused, e.frozen, e.stalled, e.lagging = false, false, false, false
 	}
@@ -88,14 +88,14 @@
 		w.bringBack(a)
 		w.disturb("unmute", a, 0)
 		a.crowded = nil
-		// An agent whose tenure ended is fenced for good: its host starts a
+		// An agent whose tenure ended is fenced permanently: its host starts a
 		// new process, as the platform would.
 		w.disturb("join", a, 0)
 		w.disturb("replace", a, 0)
 	}
 }
 
-// dump is what the stewards and agents know, for a failed check.
+// dump returns the state of the stewards and agents, for a failed check.
 func (w *world) dump() string {
 	text := ""
 	for _, e := range w.entries {
@@ -109,8 +109,8 @@
 }
 
 func (w *world) checkHealed(t *rapid.T) {
-	if w.wrong != "" {
-		t.Fatal(w.wrong)
+	if w.violation != "" {
+		t.Fatal(w.violation)
 	}
 	held := map[string]int{}
 	for _, id := range core.SortedKeys(w.agents) {
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -9,39 +9,39 @@
 	"nutmeglane.example/nutmeglane/internal/core/placement"
 )
 
-// Bounds of rebalancing. Each move is two writes of a chunk; those of a chunk
-// share them.
+// Limits of rebalancing. Each move takes two writes of a chunk; the moves of one
+// chunk share them.
 const (
-	// maxMovesPerWrite and maxMovesInFlight bound the slots that have no
-	// owner to load them for a moment.
+	// maxMovesPerWrite and maxMovesInFlight limit the slots that are temporarily
+	// without an owner that can load them.
 	maxMovesPerWrite = 4
 	maxMovesInFlight = 16
-	// joinedWait is how long a host must have reported before slots move to it:
-	// one that starts and dies in a loop must not draw slots.
-	joinedWait = 10 * time.Second
-	// crowdedRest is the least time between two moves of one slot.
-	crowdedRest = time.Minute
-	// pressureRest is how long a slot that was crowded out stays where it went,
-	// even if the pressures speak for its old host.
-	pressureRest = 15 * time.Minute
+	// minReportingTime is how long a host must have reported before slots move to
+	// it, so that a host that restarts in a loop gets none.
+	minReportingTime = 10 * time.Second
+	// minMoveInterval is the minimum time between two moves of one slot.
+	minMoveInterval = time.Minute
+	// crowdedCooldown is how long a slot that was crowded out stays on its new
+	// host, even if the pressures favour its old one.
+	crowdedCooldown = 15 * time.Minute
 )
 
-// Changes by rebalancing (labels of counters).
+// Values of the label "change" for moves by rebalancing.
 const (
-	changeEvened  = "releasing to even out"
-	changeCrowded = "releasing as crowded out"
+	changeRebalanced = "releasing to even out"
+	changeCrowded    = "releasing as crowded out"
 )
 
-// load is an agent's last word on what it has loaded. It is a hint: the proof
-// that a slot is free to move is the owner's release, as for every move.
+// load is what an agent last reported as loaded. It is only a hint: the proof
+// that a slot may move is the owner's release, as for every move.
 type load struct {
 	sequence uint64
 	slots    []core.SlotLoad
 	freeMiB  int64
 }
 
-// rest is until when a slot stays where it is.
-type rest struct{ crowded, pressure core.Time }
+// cooldown holds the times until which a slot must not be moved.
+type cooldown struct{ crowded, pressure core.Time }
 
 func (p *Part) onStatus(from core.HostID, status core.Status) {
 	if h := p.hosts[from]; h != nil && h.up && status.Sequence > h.load.sequence {
@@ -49,7 +49,7 @@
 	}
 }
 
-// unloaded tells whether the owner said last that it has nothing of the slot
+// unloaded reports whether the owner's last status shows nothing of the slot
 // loaded and no request for it.
 func (h *hostState) unloaded(s core.Slot) bool {
 	return slices.ContainsFunc(h.load.slots, func(l core.SlotLoad) bool {
@@ -67,27 +67,27 @@
 }
 
 // rebalance moves some unloaded slots: first those that were crowded out, to
-// hosts with free memory; then those of the most pressed hosts, to hosts that
-// are less pressed by a margin.
+// hosts with free memory; then those of the hosts with the highest pressure, to
+// hosts whose pressure is lower by a margin.
 //
-// Failure: at a fleet's start the steward can wait for listed hosts only, so
-// the first agents get all slots, and keep them. Or the owner of a model's one
-// slot is full with busy models, and refuses its callers while other hosts
-// have room. Guard: placement is looked at again with each plan. Nothing new is
-// asked of safety: the owner may have begun a load meanwhile, and then drains
-// and unloads it before it releases the slot, as for any move.
-func (pl *planning) rebalance() {
+// At a fleet's start the steward can wait for listed hosts only, so the first
+// agents would get all slots and keep them. Or the owner of a model's only slot
+// may be full with busy models and refuse its callers while other hosts have
+// room. Placement is therefore checked again in each plan. Safety needs nothing
+// more: if the owner has begun a load in the meantime, it drains and unloads it
+// before it releases the slot, as for any move.
+func (pl *planRun) rebalance() {
 	if pl.inGrace(pl.now) || !pl.kvUp {
 		return
 	}
-	pl.forgetRests()
-	budget := maxMovesInFlight - pl.leaveReleasing()
+	pl.dropExpiredCooldowns()
+	budget := maxMovesInFlight - pl.countReleasing()
 	if budget <= 0 {
 		return
 	}
 	all := pl.movables()
 	moved := [core.SlotChunks]int{}
-	for _, move := range []func(movable) bool{pl.moveCrowded, pl.moveEven} {
+	for _, move := range []func(movable) bool{pl.moveCrowded, pl.moveToBalance} {
 		for _, m := range all {
 			if budget == 0 {
 				return
@@ -100,9 +100,9 @@
 	}
 }
 
-// leaveReleasing counts the moves under way, and has the planner see their
-// slots at the next owner alone: rebalancing looks at how it will be.
-func (pl *planning) leaveReleasing() int {
+// countReleasing counts the moves in progress, and records their slots in the
+// planner at the next owner only, so that rebalancing plans with the result.
+func (pl *planRun) countReleasing() int {
 	count := 0
 	for i := range pl.drafts {
 		for _, s := range pl.drafts[i].table.Slots {
@@ -115,12 +115,12 @@
 	return count
 }
 
-// movables lists the slots that may move, those of the most pressed hosts and
-// the large ones first.
-func (pl *planning) movables() []movable {
+// movables returns the slots that may move, those of the hosts with the highest
+// pressure and the large ones first.
+func (pl *planRun) movables() []movable {
 	var all []movable
 	for i := range pl.drafts {
-		if c := pl.chunks[i]; c.busy != idle || c.unread || pl.now < c.retryAt {
+		if c := pl.chunks[i]; c.pending != idle || c.mustRead || pl.now < c.retryAt {
 			continue
 		}
 		for position, s := range pl.drafts[i].table.Slots {
@@ -136,49 +136,49 @@
 	return all
 }
 
-func (pl *planning) mayMove(s core.Slot) bool {
+func (pl *planRun) mayMove(s core.Slot) bool {
 	h := pl.hosts[s.Owner]
 	return s.State == core.SlotOwned && pl.planner.Has(s.Owner) && h.entry.Incarnation == s.Incarnation &&
-		pl.now >= pl.rests[s.ID].crowded && h.unloaded(s)
+		pl.now >= pl.cooldowns[s.ID].crowded && h.unloaded(s)
 }
 
-// moveCrowded moves a slot whose owner lately refused requests for lack of
-// memory to a host that has the memory free.
-func (pl *planning) moveCrowded(m movable) bool {
+// moveCrowded moves a slot whose owner recently refused requests for lack of
+// memory to a host that has enough free memory.
+func (pl *planRun) moveCrowded(m movable) bool {
 	if !slices.Contains(pl.hosts[m.owner].report.Crowded, m.slot.ID) {
 		return false
 	}
 	next, found := pl.planner.BestWithRoom(m.slot, m.owner, func(id core.HostID) bool {
-		return pl.joined(id) && pl.hosts[id].load.freeMiB >= m.slot.MemoryMiB
+		return pl.reportingLongEnough(id) && pl.hosts[id].load.freeMiB >= m.slot.MemoryMiB
 	})
 	if !found {
 		return false
 	}
 	pl.move(m, next, changeCrowded)
-	pl.rests[m.slot.ID] = rest{pl.now.Add(crowdedRest), pl.now.Add(pressureRest)}
-	// What the next plan sees as free may be taken by then.
+	pl.cooldowns[m.slot.ID] = cooldown{pl.now.Add(minMoveInterval), pl.now.Add(crowdedCooldown)}
+	// The memory may be taken by the time of the next plan.
 	pl.hosts[next].load.freeMiB -= m.slot.MemoryMiB
 	return true
 }
 
-func (pl *planning) moveEven(m movable) bool {
-	if pl.now < pl.rests[m.slot.ID].pressure || pl.draftOf(m).State != core.SlotOwned {
+func (pl *planRun) moveToBalance(m movable) bool {
+	if pl.now < pl.cooldowns[m.slot.ID].pressure || pl.draftOf(m).State != core.SlotOwned {
 		return false
 	}
 	next, found := pl.planner.BetterHost(m.slot, m.owner)
-	if !found || !pl.joined(next) {
+	if !found || !pl.reportingLongEnough(next) {
 		return false
 	}
-	pl.move(m, next, changeEvened)
-	pl.rests[m.slot.ID] = rest{crowded: pl.now.Add(crowdedRest)}
+	pl.move(m, next, changeRebalanced)
+	pl.cooldowns[m.slot.ID] = cooldown{crowded: pl.now.Add(minMoveInterval)}
 	return true
 }
 
-func (pl *planning) draftOf(m movable) core.Slot {
+func (pl *planRun) draftOf(m movable) core.Slot {
 	return pl.drafts[m.chunk].table.Slots[m.position]
 }
 
-func (pl *planning) move(m movable, next core.HostID, change string) {
+func (pl *planRun) move(m movable, next core.HostID, change string) {
 	d := &pl.drafts[m.chunk]
 	s := &d.table.Slots[m.position]
 	s.State, s.Next = core.SlotReleasing, next
@@ -187,16 +187,16 @@
 	pl.planner.Occupy(m.slot, next)
 }
 
-// joined tells whether a host has been there for a while.
-func (p *Part) joined(id core.HostID) bool {
+// reportingLongEnough reports whether a host has been reporting for minReportingTime.
+func (p *Part) reportingLongEnough(id core.HostID) bool {
 	h := p.hosts[id]
-	return h.reportedAt.Sub(h.joinedAt) >= joinedWait
+	return h.reportedAt.Sub(h.reportingSince) >= minReportingTime
 }
 
-func (p *Part) forgetRests() {
-	for id, r := range p.rests {
+func (p *Part) dropExpiredCooldowns() {
+	for id, r := range p.cooldowns {
 		if now := p.plannedAt; now >= r.crowded && now >= r.pressure {
-			delete(p.rests, id)
+			delete(p.cooldowns, id)
 		}
 	}
 }
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -9,17 +9,17 @@
 )
 
 // A fleet starts: 120 agents register one by one, and the first of them gets
-// all 120 models, each of one replica. Later hosts stay empty for good, while
-// one engine serves everybody. The steward can't wait for hosts that are not
-// listed yet.
+// all 120 models, each of one replica. Without rebalancing, later hosts stay empty
+// while one engine serves all callers. The steward can't wait for hosts that are
+// not listed yet.
 //
-// The bound: 16 moves are in flight at a time, each takes a plan that begins and
-// one that ends it, and plans go on while the owners unload. So 120 slots that
+// The bound: 16 moves are in flight at a time, each takes a plan that starts and
+// one that ends it, and plans continue while the owners unload. So 120 slots that
 // move at most once need ceil(120/16) times these plans.
-func TestFleetStartEvensOut(t *testing.T) {
+func TestFleetStartIsRebalanced(t *testing.T) {
 	const hosts, models = 120, 120
 	const waves = (models + maxMovesInFlight - 1) / maxMovesInFlight
-	const bound = waves * (2 + int(releaseTime/minWriteGap))
+	const bound = waves * (2 + int(releaseTime/minWriteInterval))
 	w := newWorld(testTimings(), 1)
 	w.quiet = true
 	w.configureMany("m", models)
@@ -32,15 +32,15 @@
 		w.run(tick)
 	}
 	if got := w.largest(); got != models {
-		t.Fatalf("the first host has %d slots: the test has lost its point", got)
+		t.Fatalf("the first host has %d slots: the test does not start from an uneven placement", got)
 	}
-	plans, most := w.untilRest()
+	plans, most := w.runUntilStable()
 	t.Logf("%d plans, bound %d; %d moves in flight at most; largest host %d", plans, bound, most, w.largest())
-	if most > maxMovesInFlight || plans > bound || w.wrong != "" {
-		t.Errorf("%d plans, %d moves in flight; %s", plans, most, w.wrong)
+	if most > maxMovesInFlight || plans > bound || w.violation != "" {
+		t.Errorf("%d plans, %d moves in flight; %s", plans, most, w.violation)
 	}
 	// One slot is 0.12 of a host, the margin 0.10: no host keeps more than one
-	// slot beyond the least pressed.
+	// slot more than the host with the lowest pressure.
 	if got := w.largest(); got > 2 {
 		t.Errorf("a host has %d slots of %d at %d hosts", got, models, hosts)
 	}
@@ -51,9 +51,9 @@
 	}
 }
 
-// untilRest runs until no table has changed for a while. It returns the number
+// runUntilStable runs until no table has changed for a while. It returns the number
 // of plans from the first change to the last, and the most moves in flight.
-func (w *world) untilRest() (plans, most int) {
+func (w *world) runUntilStable() (plans, most int) {
 	const still = 15 * time.Second
 	part := w.entries[0].part
 	changedAt, writes, planned := w.now, w.tableWrites(), part.plannedAt
@@ -93,8 +93,8 @@
 	return most
 }
 
-// tableWrites is the sum of the revisions of the slot tables, which grows with
-// each write of one.
+// tableWrites returns the sum of the revisions of the slot tables, which increases
+// with each write of one.
 func (w *world) tableWrites() int64 {
 	var sum int64
 	for _, c := range w.entries[0].part.chunks {
--- a/internal/core/steward/roster.go
+++ b/internal/core/steward/roster.go
@@ -9,14 +9,14 @@
 
 // roster is the view of one zone's roster.
 type roster struct {
-	cell
+	keyView
 	zone    core.Zone
-	entries []core.RosterEntry // by host
-	// dueAt is when the roster is next looked at for a write.
+	entries []core.RosterEntry // sorted by host
+	// dueAt is when the roster is next checked for changes to write.
 	dueAt core.Time
 }
 
-// rosterOf returns the zone's roster, made on first mention.
+// rosterOf returns the zone's roster and creates it if it does not exist.
 func (p *Part) rosterOf(zone core.Zone) *roster {
 	at, found := slices.BinarySearchFunc(p.rosters, zone, func(r *roster, z core.Zone) int {
 		return cmp.Compare(r.zone, z)
@@ -26,17 +26,17 @@
 	}
 	r := &roster{zone: zone}
 	r.key = core.KeyRosterPrefix + string(zone)
-	r.wroteAt = -core.Time(minWriteGap)
+	r.wroteAt = -core.Time(minWriteInterval)
 	r.apply = func(now core.Time, value []byte) error { return p.applyRoster(now, r, value) }
-	r.again = func(now core.Time) { r.dueAt = min(r.dueAt, now.Add(p.jitter(minWriteGap))) }
+	r.retry = func(now core.Time) { r.dueAt = min(r.dueAt, now.Add(p.jitter(minWriteInterval))) }
 	p.rosters = slices.Insert(p.rosters, at, r)
 	return r
 }
 
-// rosterSoon asks for a write after a short delay, at most one per gap.
+// rosterSoon schedules a write after a short delay, at most one per minWriteInterval.
 func (p *Part) rosterSoon(now core.Time, zone core.Zone) {
 	r := p.rosterOf(zone)
-	r.dueAt = min(r.dueAt, max(now.Add(urgentDelay), r.wroteAt.Add(minWriteGap)))
+	r.dueAt = min(r.dueAt, max(now.Add(urgentDelay), r.wroteAt.Add(minWriteInterval)))
 }
 
 func (p *Part) applyRoster(now core.Time, r *roster, value []byte) error {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// dropEntries notes the hosts that are no longer in the roster.
+// dropEntries clears the entries of hosts that were removed from the roster.
 func (p *Part) dropEntries(now core.Time, old, entries []core.RosterEntry) {
 	for _, e := range old {
 		if _, found := findEntry(entries, e.Host); !found {
@@ -76,7 +76,7 @@
 	})
 }
 
-// observe takes a roster entry in view and answers reports that it records.
+// observe stores a roster entry and answers the report that it records.
 func (p *Part) observe(now core.Time, zone core.Zone, e core.RosterEntry) {
 	h := p.hostOf(e.Host)
 	if h.zone == "" {
@@ -87,7 +87,7 @@
 	}
 	newer := !h.hasEntry || h.entry.Incarnation != e.Incarnation
 	if newer {
-		h.entryAt = p.step
+		h.entryStep = p.step
 	}
 	if newer || h.entry.Sequence != e.Sequence || h.entry.Fenced != e.Fenced {
 		h.unchangedSince = now
@@ -99,7 +99,7 @@
 	p.grant(now, h)
 }
 
-// writeRoster writes what the reports and proofs change, in one value.
+// writeRoster writes all changes from reports and proofs as one value.
 func (p *Part) writeRoster(now core.Time, r *roster) {
 	r.dueAt = now.Add(p.config.Timings.RosterInterval)
 	next := make([]core.RosterEntry, 0, len(r.entries))
@@ -113,27 +113,27 @@
 		}
 	}
 	if !slices.Equal(next, r.entries) {
-		p.write(now, &r.cell, core.Roster{Zone: r.zone, Entries: next}, 0)
+		p.write(now, &r.keyView, core.Roster{Zone: r.zone, Entries: next}, 0)
 	}
 }
 
-// nextEntry is the host's roster entry as it should be; false for none.
+// nextEntry returns the host's intended roster entry; false for none.
 func (p *Part) nextEntry(now core.Time, h *hostState) (core.RosterEntry, bool) {
 	e := h.entry
 	switch {
 	case !h.hasEntry:
 		return entryFrom(h.report), h.listed && h.reporting()
 	case h.reporting() && h.report.Incarnation != e.Incarnation:
-		if p.newest(now, h) {
+		if p.provedNewest(now, h) {
 			return entryFrom(h.report), true
 		}
 		return e, true
 	case e.Fenced:
-		// Guard: no renewal after the fence. The slots may be elsewhere.
-		return e, !p.forgotten(now, h)
+		// No renewal after the fence: the slots may be assigned elsewhere.
+		return e, !p.removable(now, h)
 	case h.reporting() && h.report.Sequence > e.Sequence:
-		// Sequences only grow: an older report, kept through a pause, must
-		// not make the entry look renewed, nor hide a renewal.
+		// Sequences only increase: an older report that was kept through a pause
+		// must not make the entry look renewed, nor hide a renewal.
 		return entryFrom(h.report), true
 	}
 	if proof := p.fenceProof(now, h); proof != "" {
--- a/internal/core/steward/scenario_test.go
+++ b/internal/core/steward/scenario_test.go
@@ -12,8 +12,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// TestScenarios runs the scripts of testdata. A command changes the world, or
-// lets time pass; its output is what changed in slots, grants and offices.
+// TestScenarios runs the scripts of testdata. A command changes the world or
+// advances the time; its output is what changed in slots, grants and stewards.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var w *world
@@ -25,8 +25,8 @@
 					w.command(t, strings.Fields(line))
 				}
 			}
-			if w.wrong != "" {
-				t.Fatalf("%s: %s", d.Pos, w.wrong)
+			if w.violation != "" {
+				t.Fatalf("%s: %s", d.Pos, w.violation)
 			}
 			log := w.log
 			w.log = nil
@@ -97,7 +97,7 @@
 	w.configure(wanted)
 }
 
-// disturbSlot has requests for a slot arrive at an idle agent: it loads the
+// disturbSlot simulates requests for a slot at an idle agent: it loads the
 // model, or refuses them for lack of memory.
 func (a *agent) disturbSlot(what string, id core.SlotID) {
 	switch what {
@@ -117,7 +117,7 @@
 	}
 }
 
-// disturb does something to an agent; its peers notice the end of a
+// disturb applies a fault or a change to an agent; its peers notice the end of a
 // connection after a delay.
 func (w *world) disturb(what string, a *agent, notice time.Duration) {
 	switch what {
@@ -138,7 +138,7 @@
 		w.end(a, notice)
 		w.unlist(a.host.ID)
 	case "leaving":
-		a.left = true
+		a.leaving = true
 		a.reportAt = w.now
 	case "cut":
 		a.cut = true
@@ -149,11 +149,11 @@
 		a.paused = true
 		w.end(a, notice)
 	case "continue":
-		a.wake(w.now)
+		a.resume(w.now)
 	case "idle", "busy":
 		a.idle = what == "idle"
 	case "mute", "unmute":
-		a.engine.mute = what == "mute"
+		a.engine.unreachable = what == "mute"
 	}
 }
 
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -10,72 +10,72 @@
 	"nutmeglane.example/nutmeglane/internal/core/peers"
 )
 
-// Delays of writes. Changes that a start-up waits for are written after a
-// short delay that gathers those of other agents; the gap bounds the rate for
-// each key whatever happens.
+// Delays of writes. Changes that a start-up waits for are written after
+// urgentDelay, which collects the changes of other agents; minWriteInterval
+// limits the write rate of each key in all cases.
 const (
-	urgentDelay = 50 * time.Millisecond
-	minWriteGap = 500 * time.Millisecond
+	urgentDelay      = 50 * time.Millisecond
+	minWriteInterval = 500 * time.Millisecond
 )
 
-// Config is what a steward part needs to know of its process.
+// Config is the configuration of a steward part.
 type Config struct {
 	Host        core.HostID
 	Incarnation core.Incarnation
 	Zone        core.Zone
-	// Address is the process' "IP:port" for other processes.
+	// Address is the "IP:port" of this process for other processes.
 	Address string
 	Timings core.Timings
-	// Seed of the jitter.
+	// Seed seeds the jitter.
 	Seed uint64
 }
 
-// Part is the steward sub-reducer.
+// Part is the steward sub-reducer. It implements core.Part.
 type Part struct {
 	config Config
 	peers  *peers.Manager
 	rand   *rand.Rand
 
-	// step counts events; it orders what this process saw.
-	step   uint64
-	tag    uint64
-	ops    map[uint64]*cell
-	kvUp   bool
-	office office
+	// step counts events; it orders the observations of this process.
+	step     uint64
+	tag      uint64
+	ops      map[uint64]*keyView
+	kvUp     bool
+	election election
 
 	snapshot  *api.Snapshot
 	listSeen  bool
 	hosts     map[core.HostID]*hostState
-	rosters   []*roster // by zone
+	rosters   []*roster // sorted by zone
 	chunks    [core.SlotChunks]*chunk
 	planAt    core.Time
 	plannedAt core.Time
 	evictions map[evictionKey]*eviction
-	// rests are the slots that rebalancing moved of late.
-	rests map[core.SlotID]rest
+	// cooldowns holds the slots that rebalancing moved recently.
+	cooldowns map[core.SlotID]cooldown
 
 	out []core.Effect
 }
 
-// New returns the part. Package machine steps the manager itself, before this
-// part.
+// New returns the part. Package machine passes each event to the manager
+// before it passes it to this part.
 func New(config Config, manager *peers.Manager) *Part {
 	p := &Part{
 		config: config,
 		peers:  manager,
 		rand:   rand.New(rand.NewPCG(config.Seed, uint64(config.Incarnation))),
-		ops:    map[uint64]*cell{},
+		ops:    map[uint64]*keyView{},
 		kvUp:   true,
 		hosts:  map[core.HostID]*hostState{},
 		planAt: core.Never,
 
 		evictions: map[evictionKey]*eviction{},
-		rests:     map[core.SlotID]rest{},
+		cooldowns: map[core.SlotID]cooldown{},
 	}
-	p.plannedAt = -core.Time(minWriteGap)
-	p.office = newOffice()
-	p.office.apply = p.applyRecord
-	p.office.again = func(now core.Time) { p.office.retryAt = now.Add(p.jitter(claimWindow)) }
+	p.plannedAt = -core.Time(minWriteInterval)
+	p.election = newElection()
+	p.election.apply = p.applyRecord
+	p.election.retry = func(now core.Time) { p.election.retryAt = now.Add(p.jitter(claimWindow)) }
 	for i := range p.chunks {
 		p.chunks[i] = p.newChunk(i)
 	}
@@ -107,7 +107,7 @@
 	case core.EvictDone:
 		p.onEvictDone(now, ev)
 	case core.Stop:
-		p.office.stopping = true
+		p.election.stopping = true
 	}
 	p.advance(now)
 	return p.out
@@ -124,19 +124,19 @@
 	}
 }
 
-// advance does what the time has come for.
+// advance performs all actions that are due.
 func (p *Part) advance(now core.Time) {
-	p.advanceOffice(now)
-	if !p.inOffice(now) {
+	p.advanceElection(now)
+	if !p.isSteward(now) {
 		return
 	}
 	for _, r := range p.rosters {
-		if p.ready(now, &r.cell) && now >= r.dueAt {
+		if p.ready(now, &r.keyView) && now >= r.dueAt {
 			p.writeRoster(now, r)
 		}
 	}
 	for _, c := range p.chunks {
-		p.ready(now, &c.cell)
+		p.ready(now, &c.keyView)
 	}
 	if now >= p.planAt {
 		p.plan(now)
@@ -145,15 +145,15 @@
 
 // Next implements core.Part.
 func (p *Part) Next() core.Time {
-	next := p.nextOffice()
-	if !p.office.held {
+	next := p.nextElection()
+	if !p.election.held {
 		return next
 	}
 	for _, r := range p.rosters {
-		next = min(next, p.nextCell(&r.cell), p.gated(&r.cell, r.dueAt))
+		next = min(next, p.nextRead(&r.keyView), p.earliestCall(&r.keyView, r.dueAt))
 	}
 	for _, c := range p.chunks {
-		next = min(next, p.nextCell(&c.cell))
+		next = min(next, p.nextRead(&c.keyView))
 	}
 	return min(next, p.planAt)
 }
@@ -168,48 +168,48 @@
 	p.emit(core.Count{Name: name, Labels: labels, Add: 1})
 }
 
-// jitter returns a uniformly random time in the window (full jitter).
+// jitter returns a uniformly random duration below window (full jitter).
 func (p *Part) jitter(window time.Duration) time.Duration {
 	return time.Duration(p.rand.Int64N(int64(window)))
 }
 
-// onWatched takes a value of the KV watch.
+// onWatched handles a value of the KV watch.
 func (p *Part) onWatched(now core.Time, ev core.KVValue) {
-	c := p.cellOf(ev.Key)
+	c := p.keyViewOf(ev.Key)
 	switch {
 	case c == nil:
 	case c.known && ev.Revision == 0:
-		// Guard: a deletion carries no revision, so a late one can't be told
-		// from news, and would hide a record written since. A read decides;
-		// the jitter spreads those of all entries.
-		c.unread, c.retryAt = true, now.Add(p.jitter(claimWindow))
+		// A deletion carries no revision, so a late one can't be told from a
+		// new one, and would hide a record written since. The key is read to
+		// decide; the jitter spreads the reads of all entries.
+		c.mustRead, c.retryAt = true, now.Add(p.jitter(claimWindow))
 	default:
-		p.view(now, c, ev.Value, ev.Revision)
+		p.applyValue(now, c, ev.Value, ev.Revision)
 	}
 }
 
-func (p *Part) cellOf(key string) *cell {
+func (p *Part) keyViewOf(key string) *keyView {
 	if key == core.KeySteward {
-		return &p.office.cell
+		return &p.election.keyView
 	}
 	if zone, ok := strings.CutPrefix(key, core.KeyRosterPrefix); ok {
-		return &p.rosterOf(core.Zone(zone)).cell
+		return &p.rosterOf(core.Zone(zone)).keyView
 	}
 	for _, c := range p.chunks {
 		if c.key == key {
-			return &c.cell
+			return &c.keyView
 		}
 	}
 	return nil
 }
 
-// onReachable notes outages of the KV service. Guard: after an outage no
-// agent's entry has moved for its whole length, which may exceed the tenure,
-// though the agents live; the grace lets them renew before anybody is fenced.
+// onReachable handles the start and the end of an outage of the KV service.
+// During an outage no roster entry is renewed. It may last longer than the tenure
+// although the agents live, so they get Grace to renew before any is fenced.
 func (p *Part) onReachable(now core.Time, up bool) {
 	if up && !p.kvUp {
-		p.office.graceUntil = now.Add(p.config.Timings.Grace)
-		p.office.onReturn(now)
+		p.election.graceUntil = now.Add(p.config.Timings.Grace)
+		p.election.onKVUp(now)
 		for _, r := range p.rosters {
 			r.retryAt, r.dueAt = now, now
 		}
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// world is some entries and agents around one fake KV service.
+// world is a set of entries and agents around one fake KV service.
 type world struct {
 	now     core.Time
 	timings core.Timings
@@ -36,10 +36,10 @@
 	// silent are connections whose end is noticed later.
 	silent []silentEnd
 	last   map[core.SlotID]core.Slot
-	// wrong is the first broken invariant.
-	wrong string
-	log   []string
-	quiet bool
+	// violation is the first violated invariant.
+	violation string
+	log       []string
+	quiet     bool
 }
 
 type silentEnd struct {
@@ -99,7 +99,7 @@
 	w.toAll(core.ConfigInForce{Snapshot: &api.Snapshot{Models: models}})
 }
 
-// end ends the connections to an agent, noticed after a delay.
+// end ends the connections to an agent, which is noticed after a delay.
 func (w *world) end(a *agent, after time.Duration) {
 	for _, e := range w.entries {
 		if inc, ok := e.conns[a.host.ID]; ok {
@@ -122,7 +122,7 @@
 	})
 }
 
-// changed is the KV service's watch.
+// changed publishes a change to the KV service's watches.
 func (w *world) changed(key string, it item) {
 	for _, e := range w.entries {
 		e.watch = append(e.watch, core.KVValue{Key: key, Value: it.value, Revision: it.revision})
@@ -132,18 +132,18 @@
 	}
 }
 
-// checkTable: generations grow with each change of owner, and only then.
+// checkTable checks that generations increase with each change of owner, and only then.
 func (w *world) checkTable(value []byte) {
 	var table core.SlotTable
 	if err := core.DecodeValue(value, &table); err != nil {
-		w.wrong = err.Error()
+		w.violation = err.Error()
 	}
 	for i, s := range table.Slots {
 		last := w.last[s.ID]
 		moved := s.Owner != last.Owner || s.Incarnation != last.Incarnation
 		if s.Generation < last.Generation || moved && s.Generation == last.Generation ||
 			i > 0 && table.Slots[i-1].ID == s.ID {
-			w.wrong = fmt.Sprintf("slot %+v after %+v, or twice", s, last)
+			w.violation = fmt.Sprintf("slot %+v after %+v, or twice", s, last)
 		}
 		w.last[s.ID] = s
 	}
@@ -300,7 +300,7 @@
 	return "[" + strings.Join(words, " ") + "]"
 }
 
-// checkHolders: never two agents that both believe they may hold a slot.
+// checkHolders checks that no two agents both assume that they may hold a slot.
 func (w *world) checkHolders() {
 	holders := map[core.SlotID]core.HostID{}
 	for _, id := range core.SortedKeys(w.agents) {
@@ -309,8 +309,8 @@
 			if !a.holds(w.now, slot) {
 				continue
 			}
-			if other, twice := holders[slot]; twice && w.wrong == "" {
-				w.wrong = fmt.Sprintf("at %v: slot %v held by %s and %s", time.Duration(w.now), slot, other, id)
+			if other, twice := holders[slot]; twice && w.violation == "" {
+				w.violation = fmt.Sprintf("at %v: slot %v held by %s and %s", time.Duration(w.now), slot, other, id)
 			}
 			holders[slot] = id
 		}
