--- a/internal/daemon/change_shell_test.go
+++ b/internal/daemon/change_shell_test.go
@@ -10,7 +10,7 @@
 
 // benchConfigApplier puts configurations in force in the same way as the daemon.
 type benchConfigApplier struct {
-	keeper   config.Keeper
+	keeper   config.SnapshotBuilder
 	operator *operator.Handler
 	revision int64
 }
