--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -132,7 +132,7 @@
 // what runs in it. It returns the exit status.
 func RunTool(out, errOut io.Writer) int {
 	stops := []os.Signal{syscall.SIGINT, syscall.SIGTERM}
-	if hangup.Release() {
+	if hangup.Restore() {
 		stops = append(stops, syscall.SIGHUP)
 	}
 	return run(Tool(out, errOut), stops...)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	story := log.Of(id)
+	story := log.Explain(id)
 	return story.Write(out)
 }
 
@@ -57,8 +57,8 @@
 			return nil, err
 		}
 	}
-	if log.Bad > 0 {
-		fmt.Fprintf(errOut, "%d lines could not be read and were left out\n", log.Bad)
+	if log.Malformed > 0 {
+		fmt.Fprintf(errOut, "%d lines could not be read and were left out\n", log.Malformed)
 	}
 	return log, nil
 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -47,7 +47,7 @@
 // nodeProcess is what routers and loaders have in common.
 type nodeProcess struct {
 	settings *settings.Node
-	ring     *telemetry.Ring
+	ring     *telemetry.AsyncWriter
 	// log takes lines about the process, requests those about single requests.
 	log, requests *slog.Logger
 	metrics       *telemetry.Metrics
@@ -61,12 +61,12 @@
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(s.MemoryMB * memoryShare * (1 << 20)))
 	}
-	p := &nodeProcess{settings: s, ring: telemetry.NewRing(out), failed: make(chan error, 4)}
+	p := &nodeProcess{settings: s, ring: telemetry.NewAsyncWriter(out), failed: make(chan error, 4)}
 	var err error
 	if p.log, err = telemetry.NewLogger(p.ring, s.Log); err != nil {
 		return nil, err
 	}
-	if p.requests, err = telemetry.NewLogger(p.ring.Requests(), s.Log); err != nil {
+	if p.requests, err = telemetry.NewLogger(p.ring.RequestWriter(), s.Log); err != nil {
 		return nil, err
 	}
 	p.log, p.requests = p.log.With("host", s.Host), p.requests.With("host", s.Host)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -84,7 +84,7 @@
 	notes := newNoteKeeper(store, p.log)
 	p.gateway = gateway.New(router.New(router.Options{
 		Host: core.HostID(p.settings.Address), Zone: p.settings.Zone, LoaderPort: p.settings.LoaderPort, Processor: p.settings.Processor,
-		Bounds: p.settings.Fleet(), Seed: randomUint64(),
+		Bounds: p.settings.FleetBounds(), Seed: randomUint64(),
 	}), gateway.Options{Links: p.links, Publish: notes.put, LookIntoStore: p.lookIntoStore, Metrics: p.metrics, Log: p.log, Requests: p.requests})
 	p.reader = newStoreReader(store, p.gateway, readPause(p.settings.Bounds), p.log)
 	p.reader.spread = p.spreadConfig
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	p.gateway.Look(func(r *router.Router) { r.SetBounds(s.Fleet()) })
+	p.gateway.Look(func(r *router.Router) { r.SetBounds(s.FleetBounds()) })
 	p.reader.setPause(readPause(s.Bounds))
 	return nil
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -25,37 +25,37 @@
 }
 
 // Story is what the logs tell of one request.
-type Story struct {
+type Explanation struct {
 	ID string
 	// Own are the lines on the request, Around those on what it met: backend
 	// servers, its model, the process that took it. Both by time.
-	Own, Around []Line
+	RequestLines, RelatedLines []Line
 }
 
 // Of returns the story of a request.
-func (l *Log) Of(id string) Story {
-	story := Story{ID: id}
+func (l *Log) Explain(id string) Explanation {
+	story := Explanation{ID: id}
 	for _, line := range l.Lines {
 		if line.text("request") == id {
-			story.Own = append(story.Own, line)
+			story.RequestLines = append(story.RequestLines, line)
 		}
 	}
-	sortByTime(story.Own)
-	if len(story.Own) == 0 {
+	sortByTime(story.RequestLines)
+	if len(story.RequestLines) == 0 {
 		return story
 	}
-	from := story.Own[0].Time.Add(-story.Own[0].duration("took") - before)
-	to := story.Own[len(story.Own)-1].Time.Add(after)
+	from := story.RequestLines[0].Time.Add(-story.RequestLines[0].duration("took") - before)
+	to := story.RequestLines[len(story.RequestLines)-1].Time.Add(after)
 	met := story.met()
 	for _, line := range l.Lines {
 		if line.Time.Before(from) || line.Time.After(to) || line.text("request") != "" {
 			continue
 		}
-		if line.concerns(met) || line.isGeneral(story.Own[0].Host) {
-			story.Around = append(story.Around, line)
+		if line.concerns(met) || line.isGeneral(story.RequestLines[0].Host) {
+			story.RelatedLines = append(story.RelatedLines, line)
 		}
 	}
-	sortByTime(story.Around)
+	sortByTime(story.RelatedLines)
 	return story
 }
 
@@ -64,9 +64,9 @@
 }
 
 // met is the set of names that the request's lines mention.
-func (s *Story) met() map[string]bool {
+func (s *Explanation) met() map[string]bool {
 	met := map[string]bool{}
-	for _, line := range s.Own {
+	for _, line := range s.RequestLines {
 		for _, name := range subjects {
 			if value := line.text(name); value != "" {
 				met[value] = true
@@ -86,11 +86,11 @@
 }
 
 // Cause says in words how the request ended and why.
-func (s *Story) Cause() string {
-	if len(s.Own) == 0 {
+func (s *Explanation) Cause() string {
+	if len(s.RequestLines) == 0 {
 		return "no line names this request: its log was dropped (see log lines dropped), its process was killed before it was written, or it never arrived"
 	}
-	last := s.Own[len(s.Own)-1]
+	last := s.RequestLines[len(s.RequestLines)-1]
 	switch last.Message {
 	case "request served":
 		return s.served(&last)
@@ -104,7 +104,7 @@
 }
 
 // served tells where the time until the first event went.
-func (s *Story) served(last *Line) string {
+func (s *Explanation) served(last *Line) string {
 	first, waited := last.duration("first"), last.duration("waited")
 	text := fmt.Sprintf("served by %s, first event after %s", last.text("instance"), first)
 	if waited > 0 {
@@ -114,9 +114,9 @@
 }
 
 // failures names the attempts that came to nothing.
-func (s *Story) failures() string {
+func (s *Explanation) failures() string {
 	var all []string
-	for _, line := range s.Own {
+	for _, line := range s.RequestLines {
 		switch line.Message {
 		case "attempt failed":
 			all = append(all, fmt.Sprintf("%s: %s (%s)", line.text("instance"), line.text("failure"), line.text("cause")))
@@ -133,10 +133,10 @@
 }
 
 // waits tells what the engine at which it waited did meanwhile.
-func (s *Story) waits() string {
+func (s *Explanation) waits() string {
 	loads := 0
 	model := ""
-	for _, line := range s.Own {
+	for _, line := range s.RequestLines {
 		if line.Message == "request waits for its model" {
 			model = line.text("model")
 		}
@@ -144,7 +144,7 @@
 	if model == "" {
 		return ""
 	}
-	for _, line := range s.Around {
+	for _, line := range s.RelatedLines {
 		if line.text("model") == model && line.Message == "order carried out" {
 			loads++
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -38,12 +38,12 @@
 // models, and those of long before, would hide it.
 func TestLateAnswerLeadsToTheLoad(t *testing.T) {
 	l := read(t)
-	story := l.Of("a1")
+	story := l.Explain("a1")
 	if want := "served by i-9, first event after 2.306s, of which it waited 2.288s for its model; 1 orders for m7 ended meanwhile"; story.Cause() != want {
 		t.Errorf("cause %q, want %q", story.Cause(), want)
 	}
 	var around []string
-	for _, line := range story.Around {
+	for _, line := range story.RelatedLines {
 		around = append(around, line.Message)
 	}
 	if got := strings.Join(around, "; "); got != "platform store does not answer; working from what is known; order carried out" {
@@ -54,7 +54,7 @@
 // A caller lost an answer midway. The cause is the failure of its attempt, and
 // what the router then believed of that server.
 func TestLostAnswerLeadsToTheServer(t *testing.T) {
-	story := read(t).Of("b2")
+	story := read(t).Explain("b2")
 	want := "ended with OutcomeUnknown after 120ms: the attempt failed: broken off; before that i-3: broken off (unexpected EOF)"
 	if story.Cause() != want {
 		t.Errorf("cause %q, want %q", story.Cause(), want)
@@ -69,10 +69,10 @@
 // are read; an id that no line names is said to be unknown, not served.
 func TestCutLinesAreCounted(t *testing.T) {
 	l := read(t)
-	if l.Bad != 1 || len(l.Lines) != 9 {
-		t.Errorf("%d bad and %d good lines, want 1 and 9", l.Bad, len(l.Lines))
+	if l.Malformed != 1 || len(l.Lines) != 9 {
+		t.Errorf("%d bad and %d good lines, want 1 and 9", l.Malformed, len(l.Lines))
 	}
-	if story := l.Of("nobody"); !strings.HasPrefix(story.Cause(), "no line names this request") {
+	if story := l.Explain("nobody"); !strings.HasPrefix(story.Cause(), "no line names this request") {
 		t.Errorf("cause %q", story.Cause())
 	}
 }
@@ -84,7 +84,7 @@
 	f.Fuzz(func(_ *testing.T, text string) {
 		var l Log
 		_ = l.Read(strings.NewReader(text)) // a line that is too long
-		story := l.Of("a1")
+		story := l.Explain("a1")
 		_ = story.Cause()
 	})
 }
--- a/internal/explain/log.go
+++ b/internal/explain/log.go
@@ -31,7 +31,7 @@
 	Lines []Line
 	// Bad counts the lines that could not be read, as those that were cut when
 	// a process was killed.
-	Bad int
+	Malformed int
 }
 
 // Read adds the lines of a process. What stands before the first brace, as the
@@ -46,7 +46,7 @@
 		}
 		line, err := parse(text)
 		if err != nil {
-			l.Bad++
+			l.Malformed++
 			continue
 		}
 		l.Lines = append(l.Lines, line)
--- a/internal/explain/text.go
+++ b/internal/explain/text.go
@@ -14,11 +14,11 @@
 
 // Write prints the story for people: the cause first, then the request's lines,
 // then what was believed around them.
-func (s *Story) Write(w io.Writer) error {
+func (s *Explanation) Write(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s\n", s.ID, s.Cause())
-	writeLines(&b, "\nthe request", s.Own)
-	writeLines(&b, "\naround it", s.Around)
+	writeLines(&b, "\nthe request", s.RequestLines)
+	writeLines(&b, "\naround it", s.RelatedLines)
 	_, err := io.WriteString(w, b.String())
 	return err
 }
--- a/internal/explain/text_test.go
+++ b/internal/explain/text_test.go
@@ -12,7 +12,7 @@
 	if err := l.Read(strings.NewReader(`{"time":"2026-02-07T01:22:24.067Z","msg":"request served","host":"h","request":"a","took":"2.344969185s"}`)); err != nil {
 		t.Fatal(err)
 	}
-	story := l.Of("a")
+	story := l.Explain("a")
 	if err := story.Write(&b); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -28,7 +28,7 @@
 
 // Release gives SIGHUP back the effect that it had when the process was started, in one that
 // has no settings to read again. It reports whether the signal ends the process then.
-func Release() (ends bool) {
+func Restore() (ends bool) {
 	if ignoredByParent() {
 		signal.Ignore(syscall.SIGHUP)
 		return false
--- a/internal/operator/page/page.go
+++ b/internal/operator/page/page.go
@@ -75,7 +75,7 @@
 func rows(s *api.Snapshot, view status.View, kind api.Kind) []row {
 	var result []row
 	for _, resource := range s.Resources(kind) {
-		state := view.Of(s, resource)
+		state := view.StatusOf(s, resource)
 		r := row{Name: resource.Metadata.Name, Conditions: state.Conditions, Replicas: state.Replicas}
 		switch spec := resource.Spec.(type) {
 		case *api.ModelSpec:
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -39,7 +39,7 @@
 	list := List{Revision: s.Revision, Items: []Item{}}
 	view := h.opts.View()
 	for _, resource := range s.Resources(kind) {
-		state := view.Of(s, resource)
+		state := view.StatusOf(s, resource)
 		list.Items = append(list.Items, Item{Resource: resource, Status: &state})
 	}
 	writeJSON(w, http.StatusOK, list)
@@ -50,7 +50,7 @@
 	if !ok {
 		return
 	}
-	state := h.opts.View().Of(s, resource)
+	state := h.opts.View().StatusOf(s, resource)
 	writeJSON(w, http.StatusOK, Item{Resource: resource, Status: &state})
 }
 
--- a/internal/operator/status/status.go
+++ b/internal/operator/status/status.go
@@ -19,13 +19,13 @@
 }
 
 // Truth is the value of a condition.
-type Truth string
+type ConditionStatus string
 
 // The values of a condition.
 const (
-	True    Truth = "True"
-	False   Truth = "False"
-	Unknown Truth = "Unknown"
+	True    ConditionStatus = "True"
+	False   ConditionStatus = "False"
+	Unknown ConditionStatus = "Unknown"
 )
 
 // The condition types.
@@ -43,10 +43,10 @@
 // Condition is one aspect of a resource's state. The time of its last change
 // is left out: the status is worked out from the present state alone.
 type Condition struct {
-	Type    string `json:"type"`
-	Status  Truth  `json:"status"`
-	Reason  string `json:"reason"`
-	Message string `json:"message"`
+	Type    string          `json:"type"`
+	Status  ConditionStatus `json:"status"`
+	Reason  string          `json:"reason"`
+	Message string          `json:"message"`
 }
 
 // ReplicaState is the state of a replica.
@@ -78,7 +78,7 @@
 }
 
 // Of returns the status of a resource of a snapshot.
-func (v View) Of(s *api.Snapshot, r api.Resource) Status {
+func (v View) StatusOf(s *api.Snapshot, r api.Resource) Status {
 	result := Status{
 		ObservedGeneration: r.Metadata.Generation,
 		Conditions:         []Condition{v.inForceCondition(r.Metadata.ResourceVersion)},
--- a/internal/operator/status/status_test.go
+++ b/internal/operator/status/status_test.go
@@ -64,7 +64,7 @@
 	s := snapshot(t)
 	of := func(kind api.Kind, name string, loads ...core.SlotLoad) Status {
 		r, _ := s.Resource(api.Key{Kind: kind, Name: name})
-		return Collect("entry-1", dump(loads...)).Of(s, r)
+		return Collect("entry-1", dump(loads...)).StatusOf(s, r)
 	}
 	loaded := core.SlotLoad{Slot: slot, Generation: 3, State: core.Loaded, Running: 2, Queued: 1}
 	got := of(api.KindModel, "m", loaded)
@@ -97,7 +97,7 @@
 		"adapter not on base":  {of(api.KindAdapter, "x", loaded), adapter},
 		"adapter loaded":       {of(api.KindAdapter, "x", withAdapter), adapterLoaded},
 		"service with no host": {of(api.KindService, "akte"), map[string]string{InForce: "True AllDaemons", Available: "False NoBackend"}},
-		"after the loop's end": {Collect("entry-1", nil).Of(s, api.Resource{Spec: &api.ModelSpec{Replicas: api.ReplicaLimits{Max: 1}}}), map[string]string{InForce: "True AllDaemons", Placed: "False TooFewOwners", Available: "False NoOwner", Loaded: "False NoOwner"}},
+		"after the loop's end": {Collect("entry-1", nil).StatusOf(s, api.Resource{Spec: &api.ModelSpec{Replicas: api.ReplicaLimits{Max: 1}}}), map[string]string{InForce: "True AllDaemons", Placed: "False TooFewOwners", Available: "False NoOwner", Loaded: "False NoOwner"}},
 	} {
 		if diff := cmp.Diff(test.want, reasons(test.got)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", name, diff)
--- a/internal/selfexec/selfexec.go
+++ b/internal/selfexec/selfexec.go
@@ -21,6 +21,6 @@
 	if os.Getenv(Variable) != "" {
 		os.Exit(cli.RunDaemon(os.Stdout, os.Stderr))
 	}
-	hangup.Release()
+	hangup.Restore()
 	os.Exit(m.Run())
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -71,7 +71,7 @@
 }
 
 // Fleet returns the bounds in the form that the reducer takes.
-func (r *Router) Fleet() fleet.Bounds {
+func (r *Router) FleetBounds() fleet.Bounds {
 	b := r.Bounds
 	return fleet.Bounds{
 		Drain: b.Drain, ConfigDelay: b.ConfigDelay, Grace: r.StopLimit,
--- a/internal/telemetry/ring.go
+++ b/internal/telemetry/ring.go
@@ -25,7 +25,7 @@
 // the middle of a decision, and the process would stop serving for the sake of
 // its log. Lines that find no room are dropped and counted, and the count is
 // logged once there is room again.
-type Ring struct {
+type AsyncWriter struct {
 	out io.Writer
 
 	mu      sync.Mutex
@@ -38,26 +38,26 @@
 }
 
 // NewRing returns a ring that writes to out. Call Close in the end.
-func NewRing(out io.Writer) *Ring {
-	r := &Ring{out: out, signal: make(chan struct{}, 1), done: make(chan struct{})}
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	r := &AsyncWriter{out: out, signal: make(chan struct{}, 1), done: make(chan struct{})}
 	go r.writeAll()
 	return r
 }
 
 // Write takes a line about the process itself.
-func (r *Ring) Write(line []byte) (int, error) { return r.take(line, ringBytes) }
+func (r *AsyncWriter) Write(line []byte) (int, error) { return r.take(line, ringBytes) }
 
 // Requests returns a writer for lines about single requests.
-func (r *Ring) Requests() io.Writer { return requestWriter{r} }
+func (r *AsyncWriter) RequestWriter() io.Writer { return requestWriter{r} }
 
-type requestWriter struct{ ring *Ring }
+type requestWriter struct{ ring *AsyncWriter }
 
 // Write implements io.Writer.
 func (w requestWriter) Write(line []byte) (int, error) {
 	return w.ring.take(line, int(firstDropped*ringBytes))
 }
 
-func (r *Ring) take(line []byte, room int) (int, error) {
+func (r *AsyncWriter) take(line []byte, room int) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || len(r.pending)+len(line) > room {
@@ -72,7 +72,7 @@
 	return len(line), nil
 }
 
-func (r *Ring) writeAll() {
+func (r *AsyncWriter) writeAll() {
 	defer close(r.done)
 	for range r.signal {
 		time.Sleep(writePause)
@@ -83,7 +83,7 @@
 
 // flush writes what is pending. An error of the output is not reported: the
 // log itself is the only place for it.
-func (r *Ring) flush() {
+func (r *AsyncWriter) flush() {
 	r.mu.Lock()
 	lines, dropped := r.pending, r.dropped
 	r.pending, r.dropped = r.spare[:0], 0
@@ -100,7 +100,7 @@
 }
 
 // Close writes what is left, waiting at most for the limit.
-func (r *Ring) Close(limit time.Duration) {
+func (r *AsyncWriter) Close(limit time.Duration) {
 	r.mu.Lock()
 	if !r.closed {
 		r.closed = true
--- a/internal/telemetry/ring_test.go
+++ b/internal/telemetry/ring_test.go
@@ -27,10 +27,10 @@
 // middle of a decision and requests would stop. Lines must be taken all the
 // same, those about the process longer than those about single requests, and
 // what was dropped must be counted in the log once somebody reads again.
-func TestRingNeverBlocks(t *testing.T) {
+func TestAsyncWriterNeverBlocks(t *testing.T) {
 	out := &stuck{release: make(chan struct{})}
-	ring := NewRing(out)
-	requests := ring.Requests()
+	ring := NewAsyncWriter(out)
+	requests := ring.RequestWriter()
 	line := []byte(strings.Repeat("r", 1023) + "\n")
 	for range 4 * ringBytes / len(line) {
 		if n, err := requests.Write(line); n != len(line) || err != nil {
@@ -56,7 +56,7 @@
 
 // BenchmarkRingLine is what a log line costs the goroutine that decides.
 func BenchmarkRingLine(b *testing.B) {
-	ring := NewRing(io.Discard)
+	ring := NewAsyncWriter(io.Discard)
 	line := []byte(strings.Repeat("r", 299) + "\n")
 	b.ReportAllocs()
 	for b.Loop() {
