--- a/internal/telemetry/handler.go
+++ b/internal/telemetry/handler.go
@@ -10,8 +10,8 @@
 
 // Handler serves GET /metrics (Prometheus text), /healthz (200 while the
 // process runs), /readyz (200 while ready returns true, else 503) and
-// /debug/state (what dump returns, as JSON). Both functions are called from
-// several goroutines.
+// /debug/state (the result of dump, as JSON). dump and ready must be safe for
+// concurrent use.
 func (m *Metrics) Handler(dump func() any, ready func() bool) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,6 +1,6 @@
-// Package telemetry makes the logger of a process, carries out the reducer's
-// Count, Observe and Note effects, and serves metrics, health and the state
-// dump to operators. Neither logs nor metrics hold text of requests.
+// Package telemetry creates the logger of a process, applies the reducer's
+// Count, Observe and Note effects, and serves metrics, health checks and the
+// state dump to operators. Neither logs nor metrics contain request text.
 package telemetry
 
 import (
@@ -12,7 +12,7 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// NewLogger returns a logger that writes lines of the form set by s to w.
+// NewLogger returns a logger that writes to w with the level and format of s.
 func NewLogger(w io.Writer, s settings.Log) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(s.Level)); err != nil {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -13,13 +13,13 @@
 
 const namespace = "nutmeglane"
 
-// Buckets of histograms: 1 ms to 524 s, and 64 B to 256 MiB.
+// Histogram buckets: 1 ms to 524 s, and 64 B to 256 MiB.
 var (
 	secondsBuckets = prometheus.ExponentialBuckets(0.001, 2, 20)
 	bytesBuckets   = prometheus.ExponentialBuckets(64, 4, 12)
 )
 
-// Metrics holds the metrics of one process in a registry of its own.
+// Metrics holds the metrics of one process in its own registry.
 type Metrics struct {
 	logger     *slog.Logger
 	registry   *prometheus.Registry
@@ -30,7 +30,7 @@
 
 // NewMetrics registers the metrics that the parts of a process declare, and
 // those of the Go runtime and the process. It fails on a name that is declared
-// twice or has none of the endings that core.CounterDef lists.
+// twice or has none of the suffixes that core.CounterDef lists.
 func NewMetrics(logger *slog.Logger, defs []core.CounterDef) (*Metrics, error) {
 	m := &Metrics{
 		logger:     logger,
@@ -53,7 +53,7 @@
 	return m, nil
 }
 
-// Registry returns the registry, for metrics of the shell's own.
+// Registry returns the registry, for metrics that are not updated by effects.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
 func (m *Metrics) add(def core.CounterDef) error {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Do carries out a Count, Observe or Note and reports whether the effect was
+// Do applies a Count, Observe or Note effect. It reports whether the effect was
 // one of these.
 func (m *Metrics) Do(effect core.Effect) bool {
 	switch e := effect.(type) {
@@ -103,10 +103,9 @@
 	return true
 }
 
-// count guards against an effect that does not fit its declaration: the client
-// library panics on wrong labels and on negative amounts, which would end a
-// process that serves requests for the sake of a metric. The update is dropped
-// and counted instead.
+// count adds to a counter. An update that does not match its declaration is
+// dropped and counted: the client library panics on wrong labels and on negative
+// amounts, and a metric must not terminate a process that serves requests.
 func (m *Metrics) count(e core.Count) {
 	vec, ok := m.counters[e.Name]
 	if !ok || e.Add < 0 {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -41,7 +41,7 @@
 		core.Observe{Name: "wait_seconds", Value: 0.25},
 		core.Observe{Name: "body_bytes", Value: 100},
 		core.Note{Name: "slot moved", Fields: []string{"slot", "m/0"}},
-		// Each of these would panic in the client library, or has no metric.
+		// Each of these would panic in the client library or has no metric.
 		core.Count{Name: "requests_total", Add: 1},
 		core.Count{Name: "requests_total", Labels: []string{"whole"}, Add: -1},
 		core.Count{Name: "unknown_total", Add: 1},
@@ -49,11 +49,11 @@
 	}
 	for _, effect := range effects {
 		if !m.Do(effect) {
-			t.Errorf("%T was not taken", effect)
+			t.Errorf("%T was not handled", effect)
 		}
 	}
 	if m.Do(core.Exit{}) {
-		t.Error("Exit was taken")
+		t.Error("Exit was handled")
 	}
 	_, body := get(t, m, "/metrics", true)
 	for _, line := range []string{
