--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -8,84 +8,87 @@
 )
 
 const (
-	// before and after are how far around a request's own lines beliefs count.
-	// A load from the weight store, the longest cause, takes some ten seconds.
-	before = 10 * time.Second
-	after  = time.Second
+	// windowBefore and windowAfter limit how far from a request's own lines related
+	// lines are searched. A load from the weight store, the longest cause, takes
+	// some ten seconds.
+	windowBefore = 10 * time.Second
+	windowAfter  = time.Second
 )
 
-// subjects are the fields that name what a decision was about. A line on one of
-// them belongs to the story of a request that named it.
-var subjects = []string{"instance", "at", "model"}
+// subjectFields are the fields that name the subject of a line: a backend server
+// or a model. A line is related to a request if the request's lines name one of
+// its subjects.
+var subjectFields = []string{"instance", "at", "model"}
 
-// general are the beginnings of lines that concern every request of a process.
-var general = []string{
+// processMessages are the prefixes of messages that concern every request of a process.
+var processMessages = []string{
 	"configuration in force", "platform store", "store read failed", "store history",
 	"router starting", "loader starting", "stopping", "ready", "settings",
 }
 
-// Story is what the logs tell of one request.
+// Explanation holds the log lines that explain what happened to one request.
 type Explanation struct {
 	ID string
-	// Own are the lines on the request, Around those on what it met: backend
-	// servers, its model, the process that took it. Both by time.
+	// RequestLines are the lines about the request, RelatedLines those about its
+	// backend servers, its model and the process that received it. Both are sorted
+	// by time.
 	RequestLines, RelatedLines []Line
 }
 
-// Of returns the story of a request.
+// Explain collects the lines that explain the request with the given id.
 func (l *Log) Explain(id string) Explanation {
-	story := Explanation{ID: id}
+	explanation := Explanation{ID: id}
 	for _, line := range l.Lines {
-		if line.text("request") == id {
-			story.RequestLines = append(story.RequestLines, line)
+		if line.stringField("request") == id {
+			explanation.RequestLines = append(explanation.RequestLines, line)
 		}
 	}
-	sortByTime(story.RequestLines)
-	if len(story.RequestLines) == 0 {
-		return story
+	sortByTime(explanation.RequestLines)
+	if len(explanation.RequestLines) == 0 {
+		return explanation
 	}
-	from := story.RequestLines[0].Time.Add(-story.RequestLines[0].duration("took") - before)
-	to := story.RequestLines[len(story.RequestLines)-1].Time.Add(after)
-	met := story.met()
+	from := explanation.RequestLines[0].Time.Add(-explanation.RequestLines[0].durationField("took") - windowBefore)
+	to := explanation.RequestLines[len(explanation.RequestLines)-1].Time.Add(windowAfter)
+	met := explanation.subjects()
 	for _, line := range l.Lines {
-		if line.Time.Before(from) || line.Time.After(to) || line.text("request") != "" {
+		if line.Time.Before(from) || line.Time.After(to) || line.stringField("request") != "" {
 			continue
 		}
-		if line.concerns(met) || line.isGeneral(story.RequestLines[0].Host) {
-			story.RelatedLines = append(story.RelatedLines, line)
+		if line.mentionsAny(met) || line.isProcessWide(explanation.RequestLines[0].Host) {
+			explanation.RelatedLines = append(explanation.RelatedLines, line)
 		}
 	}
-	sortByTime(story.RelatedLines)
-	return story
+	sortByTime(explanation.RelatedLines)
+	return explanation
 }
 
 func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// met is the set of names that the request's lines mention.
-func (s *Explanation) met() map[string]bool {
-	met := map[string]bool{}
+// subjects returns the values of the subject fields in the request's lines.
+func (s *Explanation) subjects() map[string]bool {
+	subjects := map[string]bool{}
 	for _, line := range s.RequestLines {
-		for _, name := range subjects {
-			if value := line.text(name); value != "" {
-				met[value] = true
+		for _, name := range subjectFields {
+			if value := line.stringField(name); value != "" {
+				subjects[value] = true
 			}
 		}
 	}
-	return met
+	return subjects
 }
 
-func (l *Line) concerns(met map[string]bool) bool {
-	return slices.ContainsFunc(subjects, func(name string) bool { return met[l.text(name)] })
+func (l *Line) mentionsAny(subjects map[string]bool) bool {
+	return slices.ContainsFunc(subjectFields, func(name string) bool { return subjects[l.stringField(name)] })
 }
 
-// isGeneral tells that the line is about the process at host as a whole.
-func (l *Line) isGeneral(host string) bool {
-	return l.Host == host && slices.ContainsFunc(general, func(start string) bool { return strings.HasPrefix(l.Message, start) })
+// isProcessWide reports whether the line is about the process at host as a whole.
+func (l *Line) isProcessWide(host string) bool {
+	return l.Host == host && slices.ContainsFunc(processMessages, func(start string) bool { return strings.HasPrefix(l.Message, start) })
 }
 
-// Cause says in words how the request ended and why.
+// Cause describes in one sentence how the request ended and why.
 func (s *Explanation) Cause() string {
 	if len(s.RequestLines) == 0 {
 		return "no line names this request: its log was dropped (see log lines dropped), its process was killed before it was written, or it never arrived"
@@ -93,37 +96,37 @@
 	last := s.RequestLines[len(s.RequestLines)-1]
 	switch last.Message {
 	case "request served":
-		return s.served(&last)
+		return s.servedCause(&last)
 	case "caller left":
-		return fmt.Sprintf("the caller left after %s%s", last.text("took"), s.waits())
+		return fmt.Sprintf("the caller left after %s%s", last.stringField("took"), s.loadsMeanwhile())
 	case "request ended without a server's answer":
-		return fmt.Sprintf("ended with %s after %s: %s%s%s", last.text("name"), last.text("took"), last.text("reason"), s.failures(), s.waits())
+		return fmt.Sprintf("ended with %s after %s: %s%s%s", last.stringField("name"), last.stringField("took"), last.stringField("reason"), s.failedAttempts(), s.loadsMeanwhile())
 	default:
-		return fmt.Sprintf("no end was logged; the last line is %q%s", last.Message, s.failures())
+		return fmt.Sprintf("no end was logged; the last line is %q%s", last.Message, s.failedAttempts())
 	}
 }
 
-// served tells where the time until the first event went.
-func (s *Explanation) served(last *Line) string {
-	first, waited := last.duration("first"), last.duration("waited")
-	text := fmt.Sprintf("served by %s, first event after %s", last.text("instance"), first)
+// servedCause describes where the time until the first event was spent.
+func (s *Explanation) servedCause(last *Line) string {
+	first, waited := last.durationField("first"), last.durationField("waited")
+	text := fmt.Sprintf("served by %s, first event after %s", last.stringField("instance"), first)
 	if waited > 0 {
 		text += fmt.Sprintf(", of which it waited %s for its model", waited)
 	}
-	return text + s.failures() + s.waits()
+	return text + s.failedAttempts() + s.loadsMeanwhile()
 }
 
-// failures names the attempts that came to nothing.
-func (s *Explanation) failures() string {
+// failedAttempts describes the failed, refused and timed-out attempts.
+func (s *Explanation) failedAttempts() string {
 	var all []string
 	for _, line := range s.RequestLines {
 		switch line.Message {
 		case "attempt failed":
-			all = append(all, fmt.Sprintf("%s: %s (%s)", line.text("instance"), line.text("failure"), line.text("cause")))
+			all = append(all, fmt.Sprintf("%s: %s (%s)", line.stringField("instance"), line.stringField("failure"), line.stringField("cause")))
 		case "backend server refused the request":
-			all = append(all, fmt.Sprintf("%s refused it with status %v", line.text("instance"), line.Fields["status"]))
+			all = append(all, fmt.Sprintf("%s refused it with status %v", line.stringField("instance"), line.Fields["status"]))
 		case "no answer in time; trying another server":
-			all = append(all, fmt.Sprintf("%s gave no answer within %s", line.text("instance"), line.text("waited")))
+			all = append(all, fmt.Sprintf("%s gave no answer within %s", line.stringField("instance"), line.stringField("waited")))
 		}
 	}
 	if len(all) == 0 {
@@ -132,20 +135,21 @@
 	return "; before that " + strings.Join(all, ", ")
 }
 
-// waits tells what the engine at which it waited did meanwhile.
-func (s *Explanation) waits() string {
+// loadsMeanwhile describes the orders that engines completed for the request's
+// model while the request waited for it; "" if it did not wait.
+func (s *Explanation) loadsMeanwhile() string {
 	loads := 0
 	model := ""
 	for _, line := range s.RequestLines {
 		if line.Message == "request waits for its model" {
-			model = line.text("model")
+			model = line.stringField("model")
 		}
 	}
 	if model == "" {
 		return ""
 	}
 	for _, line := range s.RelatedLines {
-		if line.text("model") == model && line.Message == "order carried out" {
+		if line.stringField("model") == model && line.Message == "order carried out" {
 			loads++
 		}
 	}
--- a/internal/explain/log.go
+++ b/internal/explain/log.go
@@ -1,6 +1,6 @@
-// Package explain puts together, from the logs of several processes, what
-// happened to one request and what the processes believed meanwhile. It reads
-// the structured lines that routers and loaders write, and decides nothing.
+// Package explain reconstructs from the logs of several processes what happened
+// to one request and which state the processes logged meanwhile. It only reads the
+// structured lines that routers and loaders write.
 package explain
 
 import (
@@ -13,29 +13,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxLine bounds one log line in bytes. Lines have some hundred.
+// maxLine limits one log line in bytes. Typical lines have some hundred.
 const maxLine = 1 << 20
 
 // Line is one structured log line.
 type Line struct {
 	Time time.Time
-	// Host is the name of the process's host.
+	// Host is the host that the process runs on.
 	Host    string
 	Message string
-	// Fields are all others, as they were logged.
+	// Fields holds all other fields as they were logged, except the level.
 	Fields map[string]any
 }
 
-// Log is what was read.
+// Log holds the lines read from all files.
 type Log struct {
 	Lines []Line
-	// Bad counts the lines that could not be read, as those that were cut when
-	// a process was killed.
+	// Malformed counts the lines that could not be parsed, such as those truncated
+	// when a process was killed.
 	Malformed int
 }
 
-// Read adds the lines of a process. What stands before the first brace, as the
-// prefix of a log collector, is passed over.
+// Read adds the lines of a log. Text before the first brace of a line, such as
+// the prefix of a log collector, is skipped.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
@@ -57,7 +57,7 @@
 func parse(text []byte) (Line, error) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
-		return Line{}, errors.New("it holds no JSON object")
+		return Line{}, errors.New("no JSON object in the line")
 	}
 	fields := map[string]any{}
 	if err := json.Unmarshal(text[start:], &fields); err != nil {
@@ -69,23 +69,23 @@
 	if line.Time, err = time.Parse(time.RFC3339Nano, at); err != nil {
 		return Line{}, errors.Wrap(err, "time of the line")
 	}
-	line.Host = line.text("host")
-	line.Message = line.text("msg")
+	line.Host = line.stringField("host")
+	line.Message = line.stringField("msg")
 	for _, name := range []string{"time", "host", "msg", "level"} {
 		delete(fields, name)
 	}
 	return line, nil
 }
 
-// text is a field that is text, "" if the line has none of the name.
-func (l *Line) text(name string) string {
+// stringField returns a string field, or "" if the line has no such field.
+func (l *Line) stringField(name string) string {
 	value, _ := l.Fields[name].(string)
 	return value
 }
 
-// duration is a field that is a duration, 0 if the line has none of the name.
-func (l *Line) duration(name string) time.Duration {
-	d, err := time.ParseDuration(l.text(name))
+// durationField returns a duration field, or 0 if the line has no such field.
+func (l *Line) durationField(name string) time.Duration {
+	d, err := time.ParseDuration(l.stringField(name))
 	if err != nil {
 		return 0
 	}
--- a/internal/explain/text.go
+++ b/internal/explain/text.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// clock is how times of lines are printed.
-const clock = "15:04:05.000"
+// timeLayout is the layout in which times of lines are printed.
+const timeLayout = "15:04:05.000"
 
-// Write prints the story for people: the cause first, then the request's lines,
-// then what was believed around them.
+// Write prints the explanation as text: the cause, then the request's lines, then
+// the related lines.
 func (s *Explanation) Write(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s\n", s.ID, s.Cause())
@@ -29,16 +29,16 @@
 	}
 	fmt.Fprintln(b, title)
 	for _, line := range lines {
-		fmt.Fprintf(b, "  %s  %s  %s", line.Time.Format(clock), line.Host, line.Message)
+		fmt.Fprintf(b, "  %s  %s  %s", line.Time.Format(timeLayout), line.Host, line.Message)
 		for _, name := range slices.Sorted(maps.Keys(line.Fields)) {
-			fmt.Fprintf(b, "  %s=%s", name, shorten(line.Fields[name]))
+			fmt.Fprintf(b, "  %s=%s", name, formatValue(line.Fields[name]))
 		}
 		fmt.Fprintln(b)
 	}
 }
 
-// shorten prints a value; durations to the ms.
-func shorten(value any) string {
+// formatValue formats a field value. Durations are rounded to 1 ms.
+func formatValue(value any) string {
 	text := fmt.Sprint(value)
 	if d, err := time.ParseDuration(text); err == nil {
 		return d.Round(time.Millisecond).String()
--- a/internal/explain/usage.go
+++ b/internal/explain/usage.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Usage sums up a run: how long callers waited who found their model not loaded,
-// and how long accelerators held models that nobody called.
+// Usage summarizes a run: the durations of cold starts, and how long engines kept
+// models loaded without requests.
 type Usage struct {
-	// Cold are the times from arrival to first event, by where the nearest copy
-	// lay: memory, disk, store, or adapter.
+	// Cold holds the times from arrival to first event of cold requests, by the
+	// location of the nearest copy of the model: memory, disk, store, or adapter.
 	Cold map[string][]time.Duration
-	// Models and IdleModels are model-seconds, Engines and IdleEngines seconds of
-	// engines.
+	// Models and IdleModels are summed over loaded models (model-seconds), Engines
+	// and IdleEngines over engines (engine-seconds).
 	Models, IdleModels, Engines, IdleEngines time.Duration
 }
 
-// Usage sums up all lines that were read.
+// Usage summarizes all lines read. Loaders log running totals since their start,
+// so only the last line of each loader run counts.
 func (l *Log) Usage() Usage {
 	u := Usage{Cold: map[string][]time.Duration{}}
 	last := map[string]Line{}
 	for _, line := range l.Lines {
 		switch line.Message {
 		case "request served":
-			if tier := line.text("cold"); tier != "" {
-				u.Cold[tier] = append(u.Cold[tier], line.duration("first"))
+			if tier := line.stringField("cold"); tier != "" {
+				u.Cold[tier] = append(u.Cold[tier], line.durationField("first"))
 			}
 		case "loader starting":
 			u.add(last[line.Host])
@@ -42,15 +43,15 @@
 	return u
 }
 
-// add adds the last sums of one loader's life.
+// add adds the last totals of one loader run.
 func (u *Usage) add(line Line) {
-	u.Models += line.duration("models")
-	u.IdleModels += line.duration("models_idle")
-	u.Engines += line.duration("engine")
-	u.IdleEngines += line.duration("engine_idle")
+	u.Models += line.durationField("models")
+	u.IdleModels += line.durationField("models_idle")
+	u.Engines += line.durationField("engine")
+	u.IdleEngines += line.durationField("engine_idle")
 }
 
-// Write prints the sums as tables.
+// Write prints the totals as tables.
 func (u *Usage) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "cold start from\trequests\tp50\tp95\tp99")
--- a/internal/explain/usage_test.go
+++ b/internal/explain/usage_test.go
@@ -6,10 +6,9 @@
 	"testing"
 )
 
-// An operator asks how long callers waited for rare models and how long engines
-// held models for nobody. A loader that was started again begins its sums anew;
-// both lives count.
-func TestUsageSumsUpARun(t *testing.T) {
+// A restarted loader resets its totals. Guards against a summary that loses the
+// totals of the run before the restart; percentiles of cold starts are checked too.
+func TestUsageAcrossLoaderRestart(t *testing.T) {
 	var log Log
 	lines := ""
 	for i := range 100 {
