--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -17,8 +17,8 @@
 	minTokenBytes   = 16
 	maxStreamWindow = 4096
 	maxBytes        = 1 << 30
-	// reportsPerTenure is how many reports in a row may be lost before an
-	// agent has to unload.
+	// reportsPerTenure is the number of consecutive reports that may be lost
+	// before an agent has to unload.
 	reportsPerTenure = 4
 )
 
@@ -26,10 +26,10 @@
 
 const nameWanted = "1 to 63 lower-case letters, digits, '-' and '.'"
 
-// require reports a fault unless ok. A field that could not be read has been
-// reported already and is skipped.
+// require reports a problem unless ok. A field for which a problem was reported
+// before, such as one that could not be parsed, is skipped.
 func (c *checker) require(ok bool, field string, got any, wanted string) {
-	if !ok && !c.wrong[field] {
+	if !ok && !c.reported[field] {
 		c.report(field, c.lines[field], fmt.Sprint(got), wanted)
 	}
 }
@@ -46,8 +46,8 @@
 	c.require(got.IsValid(), field, "nothing", `"IP:port"`)
 }
 
-// baseURL checks that a URL names its host by IP number: processes resolve no
-// names.
+// baseURL checks that the host of a URL is an IP address, because processes do not
+// resolve host names.
 func (c *checker) baseURL(field, got string) {
 	const wanted = `"http://IP:port" or "https://IP:port", with an optional path`
 	parsed, err := url.Parse(got)
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkPeers also fills in Advertise.
+// checkPeers checks Peers and sets the default of Advertise.
 func (s *Agent) checkPeers(c *checker) {
 	peers := &s.Peers
 	peers.TLS.check(c, "peers.tls", true)
@@ -128,9 +128,9 @@
 	s.checkLimits(c)
 }
 
-// check wants the files that belong together. Between processes a certificate
-// without an authority to check the other side's by would let anybody who can
-// reach the address give orders.
+// check requires files that depend on each other to be set together. With mutual,
+// used between processes, a certificate needs a CA: without one to verify the peer's
+// certificate, anyone who can reach the address could send orders.
 func (t TLS) check(c *checker, field string, mutual bool) {
 	const pair = "both cert and key, or neither"
 	c.require((t.Cert == "") == (t.Key == ""), field, "one of cert and key", pair)
@@ -159,8 +159,8 @@
 	c.require(got > 0 && got <= maxBytes, field, got, "1 to 1073741824 bytes")
 }
 
-// check also holds the relations that the argument against two owners of one
-// slot depends on (docs/DESIGN.md): with others, a slot could be loaded twice.
+// check includes the relations between timings that guarantee a single owner per
+// slot (see docs/DESIGN.md). If they are violated, a slot could be loaded twice.
 func (t Timings) check(c *checker) {
 	c.positive("timings.tenure", t.Tenure)
 	c.positive("timings.unloadLead", t.UnloadLead)
@@ -170,18 +170,18 @@
 	c.positive("timings.stewardLease", t.StewardLease)
 	c.positive("timings.pingInterval", t.PingInterval)
 	c.require(t.UnloadLead < t.Tenure, "timings.unloadLead", t.UnloadLead, "less than timings.tenure")
-	// Divided rather than multiplied: a product of two large durations
-	// overflows and would pass.
+	// Dividing the margin avoids an overflow: twice a very large order validity
+	// would overflow and pass.
 	c.require(t.TenureMargin > 0 && t.TenureMargin/2 >= t.OrderValidity, "timings.tenureMargin",
 		t.TenureMargin, "at least twice timings.orderValidity")
 	c.require(t.Grace >= t.ReportInterval, "timings.grace", t.Grace, "at least timings.reportInterval")
-	useful := t.Tenure - t.UnloadLead
-	if useful <= 0 {
+	servingTime := t.Tenure - t.UnloadLead
+	if servingTime <= 0 {
 		return
 	}
 	const wanted = "at most a quarter of timings.tenure less timings.unloadLead"
-	c.require(t.ReportInterval <= useful/reportsPerTenure, "timings.reportInterval", t.ReportInterval, wanted)
-	c.require(t.RosterInterval <= useful/reportsPerTenure, "timings.rosterInterval", t.RosterInterval, wanted)
-	c.require(t.OrderValidity < useful, "timings.orderValidity", t.OrderValidity,
+	c.require(t.ReportInterval <= servingTime/reportsPerTenure, "timings.reportInterval", t.ReportInterval, wanted)
+	c.require(t.RosterInterval <= servingTime/reportsPerTenure, "timings.rosterInterval", t.RosterInterval, wanted)
+	c.require(t.OrderValidity < servingTime, "timings.orderValidity", t.OrderValidity,
 		"less than timings.tenure less timings.unloadLead")
 }
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -9,15 +9,14 @@
 	"github.com/tailscale/hujson"
 )
 
-const maxShown = 60 // bytes of a wrong value that an error shows
+const maxShownBytes = 60 // of an invalid value in an error message
 
 // secretField is never shown in errors.
 const secretField = "operators.token"
 
-// object fills a struct from a JSON object. Unlike encoding/json it goes on
-// after a fault, so that an operator sees all faults of a file at once, and
-// it refuses a field given twice, of which encoding/json silently takes the
-// last.
+// object decodes a JSON object into a struct. Unlike encoding/json it continues
+// after an error, so that an operator sees all problems of a file at once, and it
+// rejects a repeated field, of which encoding/json silently uses the last.
 func (c *checker) object(object *hujson.Object, path string, into reflect.Value) {
 	fields := fieldsByName(into)
 	seen := map[string]bool{}
@@ -39,7 +38,7 @@
 	}
 }
 
-// value fills one field.
+// value decodes one field.
 func (c *checker) value(node hujson.Value, path string, into reflect.Value) {
 	wanted, ok := fill(node, into)
 	if object, isObject := node.Value.(*hujson.Object); isObject && into.Kind() == reflect.Struct && wanted == wantObject {
@@ -47,7 +46,7 @@
 		return
 	}
 	if !ok {
-		got := show(node)
+		got := formatNode(node)
 		if path == secretField {
 			got = "(not shown)"
 		}
@@ -57,7 +56,8 @@
 
 const wantObject = "an object"
 
-// fill sets a field from a literal, or tells what was wanted.
+// fill sets a field from a literal. It returns whether that succeeded and a
+// description of the values that the field accepts.
 func fill(node hujson.Value, into reflect.Value) (wanted string, ok bool) {
 	literal, _ := node.Value.(hujson.Literal)
 	text := literalString(node)
@@ -111,11 +111,11 @@
 
 func memberName(member hujson.ObjectMember) string { return literalString(member.Name) }
 
-// show returns a value for an error message, shortened.
-func show(node hujson.Value) string {
+// formatNode formats a value for an error message, truncated to maxShownBytes.
+func formatNode(node hujson.Value) string {
 	if literal, ok := node.Value.(hujson.Literal); ok {
-		if len(literal) > maxShown {
-			return string(literal[:maxShown]) + "..."
+		if len(literal) > maxShownBytes {
+			return string(literal[:maxShownBytes]) + "..."
 		}
 		return string(literal)
 	}
@@ -140,8 +140,8 @@
 	return path + "." + name
 }
 
-// fieldsByName returns the fields of a struct and of those embedded in it, by
-// their names in the file.
+// fieldsByName returns the fields of a struct and its embedded structs by their
+// JSON names.
 func fieldsByName(into reflect.Value) map[string]reflect.Value {
 	fields := map[string]reflect.Value{}
 	for _, field := range reflect.VisibleFields(into.Type()) {
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// DefaultEntry returns an entry's settings with every default and no required
-// field.
+// DefaultEntry returns an entry's settings with all defaults set and the required
+// fields empty.
 func DefaultEntry() *Entry {
 	return &Entry{
 		Common: defaultCommon(),
@@ -32,8 +32,8 @@
 	}
 }
 
-// DefaultAgent returns an agent's settings with every default and no required
-// field.
+// DefaultAgent returns an agent's settings with all defaults set and the required
+// fields empty.
 func DefaultAgent() *Agent {
 	return &Agent{
 		Common: defaultCommon(),
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings file of a process: JSON with comments,
-// one object. Every field is checked on load, unknown and repeated fields are
-// refused, and all faults are reported together as Problems, each with file,
-// line, field path, got and wanted. Examples with each field explained are in
-// examples/settings.
+// Package settings loads the settings file of a process, one object of JSON with
+// comments. Every field is validated on load, unknown and repeated fields are
+// rejected, and all problems are reported together as Problems, each with file,
+// line, field path, actual value and accepted values. Examples that explain each
+// field are in examples/settings.
 package settings
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,8 +12,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load reads and checks a settings file of any role. The result is an *Entry,
-// an *Agent, a *Router or a *Loader; the error is Problems.
+// Load reads and validates a settings file of any role. The result is an *Entry,
+// an *Agent, a *Router or a *Loader. The error is of type Problems.
 func Load(file string) (Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return typed, nil
 }
 
-// Parse is Load for the contents of a file; file is named in errors only.
+// Parse is Load for the contents of a file. The file name is used only in errors.
 func Parse(file string, data []byte) (Settings, error) {
 	c := &checker{file: file, data: data, lines: map[string]int{}}
 	loaded := c.parse()
@@ -58,12 +58,12 @@
 	return loaded, nil
 }
 
-// checker collects the faults of one file.
+// checker decodes one file and collects its problems.
 type checker struct {
 	file     string
 	data     []byte
 	lines    map[string]int
-	wrong    map[string]bool
+	reported map[string]bool
 	problems Problems
 }
 
@@ -78,15 +78,15 @@
 		c.report("", c.lineAt(root.StartOffset), kindName(root), "an object")
 		return nil
 	}
-	loaded := c.byRole(object)
+	loaded := c.defaultsForRole(object)
 	if loaded != nil {
 		c.object(object, "", reflect.ValueOf(loaded).Elem())
 	}
 	return loaded
 }
 
-// byRole returns the defaults of the role that the file names.
-func (c *checker) byRole(object *hujson.Object) Settings {
+// defaultsForRole returns the defaults of the role that the file sets.
+func (c *checker) defaultsForRole(object *hujson.Object) Settings {
 	const wanted = `"entry", "agent", "router" or "loader"`
 	for _, member := range object.Members {
 		if memberName(member) != "role" {
@@ -102,7 +102,7 @@
 		case string(RoleLoader):
 			return DefaultLoader()
 		}
-		c.report("role", c.lineAt(member.Value.StartOffset), show(member.Value), wanted)
+		c.report("role", c.lineAt(member.Value.StartOffset), formatNode(member.Value), wanted)
 		return nil
 	}
 	c.report("role", 0, "nothing", wanted)
@@ -113,10 +113,10 @@
 
 func (c *checker) report(field string, line int, got, wanted string) {
 	c.problems = append(c.problems, Problem{File: c.file, Line: line, Field: field, Got: got, Wanted: wanted})
-	if c.wrong == nil {
-		c.wrong = map[string]bool{}
+	if c.reported == nil {
+		c.reported = map[string]bool{}
 	}
-	c.wrong[field] = true
+	c.reported[field] = true
 }
 
 func quote(text string) string { return strconv.Quote(text) }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -8,29 +8,29 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// The roles of processes that serve through routers and loaders.
+// The roles of routers and loaders.
 const (
 	RoleRouter Role = "router"
 	RoleLoader Role = "loader"
 )
 
-// Node holds the fields that routers and loaders have.
+// Node holds the fields common to routers and loaders.
 type Node struct {
 	// Role is "router" or "loader". Required.
 	Role Role `json:"role"`
-	// Host is the host's name in logs. Required.
+	// Host is the host name used in logs. Required.
 	Host string `json:"host"`
-	// Address is the host's IP number, by which its peers know it. Required.
+	// Address is the host's IP address, which identifies it to peers. Required.
 	Address string `json:"address"`
 	// Zone is the host's availability zone. Required.
 	Zone core.Zone `json:"zone"`
-	// Operators is the "IP:port" of metrics and the state dump. Required.
+	// Operators is the "IP:port" that serves metrics and the state dump. Required.
 	Operators netip.AddrPort `json:"operators"`
-	// MemoryMB is the memory limit of the process. Default 0: none is known.
+	// MemoryMB is the memory limit of the process. Default 0: unknown.
 	MemoryMB float64 `json:"memoryMB"`
-	// Log is the form of log lines.
+	// Log configures log lines.
 	Log Log `json:"log"`
-	// StopLimit is the longest graceful shutdown. Default 8s.
+	// StopLimit is the maximum duration of a graceful shutdown. Default 8s.
 	StopLimit time.Duration `json:"stopLimit"`
 }
 
@@ -39,23 +39,23 @@
 	Node
 	// Callers is the "IP:port" of the callers' listener. Required.
 	Callers netip.AddrPort `json:"callers"`
-	// Readiness is the "IP:port" at which the balancer asks whether the router
-	// takes connections. Required.
+	// Readiness is the "IP:port" at which the load balancer checks whether the
+	// router accepts connections. Required.
 	Readiness netip.AddrPort `json:"readiness"`
 	// LoaderPort is the port of the loader on each engine's host. Required.
 	LoaderPort int `json:"loaderPort"`
-	// Processor is the process's share of a processor. Of all routers the strongest
-	// coordinates. Default 0: not known.
+	// Processor is the process's share of a processor. The router with the largest
+	// share becomes the coordinator. Default 0: unknown.
 	Processor float64 `json:"processor"`
 	// Store is the "IP:port" of the platform's store. Required.
 	Store netip.AddrPort `json:"store"`
-	// Bounds are the deployment's promises.
+	// Bounds are the limits that the deployment guarantees.
 	Bounds RouterBounds `json:"bounds"`
 }
 
-// RouterBounds are fleet.Bounds; see there for meanings. All are required but those of
-// quotas, which a deployment without client accounts does not have. Default of these: 0,
-// and QuotaWindow 10s.
+// RouterBounds are the fields of fleet.Bounds, which documents them. All are required
+// except those of quotas, which a deployment without client accounts does not use. The
+// quota fields default to 0, and QuotaWindow to 10s.
 type RouterBounds struct {
 	Drain           time.Duration `json:"drain"`
 	ConfigDelay     time.Duration `json:"configDelay"`
@@ -70,7 +70,7 @@
 	QuotaRouters    int           `json:"quotaRouters"`
 }
 
-// Fleet returns the bounds in the form that the reducer takes.
+// FleetBounds returns the bounds as fleet.Bounds, with StopLimit as Grace.
 func (r *Router) FleetBounds() fleet.Bounds {
 	b := r.Bounds
 	return fleet.Bounds{
@@ -86,10 +86,10 @@
 	Node
 	// Peers is the "IP:port" at which routers connect. Required.
 	Peers netip.AddrPort `json:"peers"`
-	// Engine is the "IP:port" of the engine beside it. Required.
+	// Engine is the "IP:port" of the loader's engine. Required.
 	Engine netip.AddrPort `json:"engine"`
-	// IdleAfter is how long after its last request a loaded model counts as idle in
-	// metrics and logs. Default 10s.
+	// IdleAfter is the time after its last request from which a loaded model counts as
+	// idle in metrics and logs. Default 10s.
 	IdleAfter time.Duration `json:"idleAfter"`
 }
 
@@ -97,14 +97,14 @@
 	return Node{Log: Log{Level: "info", Format: "json"}, StopLimit: 8 * time.Second}
 }
 
-// DefaultRouter returns a router's settings with every default and no required
-// field.
+// DefaultRouter returns a router's settings with all defaults set and the required
+// fields empty.
 func DefaultRouter() *Router {
 	return &Router{Node: defaultNode(), Bounds: RouterBounds{QuotaWindow: 10 * time.Second}}
 }
 
-// DefaultLoader returns a loader's settings with every default and no required
-// field.
+// DefaultLoader returns a loader's settings with all defaults set and the required
+// fields empty.
 func DefaultLoader() *Loader { return &Loader{Node: defaultNode(), IdleAfter: 10 * time.Second} }
 
 // LoadRouter is Load for a router.
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -7,15 +7,15 @@
 	"nutmeglane.example/nutmeglane/internal/code"
 )
 
-// Problem is one fault of a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	// File is the path as given to Load.
 	File string
-	// Line counts from 1; 0 when the fault has no place in the file.
+	// Line counts from 1. It is 0 if the problem has no position in the file.
 	Line int
 	// Field is the path of the field, such as "kv.url"; "" for the whole file.
 	Field string
-	// Got is what the file has. Secrets are not shown.
+	// Got is the value in the file. Secrets are not shown.
 	Got string
 	// Wanted is what the field accepts.
 	Wanted string
@@ -38,10 +38,10 @@
 		place, p.Code(), p.Code(), field, p.Got, p.Wanted)
 }
 
-// Problems is the error of Load: all faults of one file, in file order.
+// Problems is the error of Load: all problems of one file, in file order.
 type Problems []Problem
 
-// Error implements error, one line per fault.
+// Error implements error, with one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,9 +17,9 @@
 	agentExample = "../../examples/settings/agent.json"
 )
 
-// TestExamplesHoldTheDefaults keeps the documented values, the examples and
-// the code from drifting apart.
-func TestExamplesHoldTheDefaults(t *testing.T) {
+// The example files must contain the default values of the code, so that the
+// documented values stay correct.
+func TestExamplesMatchDefaults(t *testing.T) {
 	entry, err := LoadEntry(entryExample)
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 		t.Errorf("agent example (-default +example):\n%s", diff)
 	}
 	if _, err := LoadAgent(entryExample); err == nil {
-		t.Error("an entry's settings were taken for an agent's")
+		t.Error("an entry's settings were loaded as an agent's")
 	}
 }
 
@@ -96,15 +96,15 @@
 			if !errors.As(err, &problems) {
 				t.Fatalf("got %v, want Problems", err)
 			}
-			if diff := cmp.Diff(test.want, fieldsOf(t, text, problems)); diff != "" {
+			if diff := cmp.Diff(test.want, checkedFields(t, text, problems)); diff != "" {
 				t.Errorf("problems (-want +got):\n%s\n%v", diff, err)
 			}
 		})
 	}
 }
 
-// fieldsOf returns the fields and checks that each line given is the field's.
-func fieldsOf(t *testing.T, text string, problems Problems) []string {
+// checkedFields returns the fields of the problems and checks their line numbers.
+func checkedFields(t *testing.T, text string, problems Problems) []string {
 	t.Helper()
 	lines := strings.Split(text, "\n")
 	var fields []string
@@ -121,8 +121,8 @@
 	return fields
 }
 
-// TestTokenIsNotShown: an operator mistypes the settings, the process prints
-// the fault to a log that many can read, and the token must not be in it.
+// A settings file contains a malformed token, and the process writes the problem to
+// a log that many can read. The token must not be part of the message.
 func TestTokenIsNotShown(t *testing.T) {
 	for _, token := range []string{`"hunter2"`, `["hunter2"]`, `{"hunter2": 1}`} {
 		_, err := Parse("x", []byte(`{"role": "entry", "operators": {"token": `+token+`}}`))
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -7,10 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Role tells which process the settings are for.
+// Role is the kind of process that the settings are for.
 type Role string
 
-// The roles.
+// The roles of entries and agents.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
@@ -20,13 +20,13 @@
 type Settings interface {
 	// RoleName returns the role that the settings are for.
 	RoleName() Role
-	// OperatorsListen is where operators reach the process.
+	// OperatorsListen returns the address of the operators' listener.
 	OperatorsListen() netip.AddrPort
 	check(c *checker)
 }
 
-// Common holds the fields that both roles have. Durations are written as
-// strings such as "250ms", "10s" or "75m"; addresses are IP numbers.
+// Common holds the fields common to entries and agents. Durations are written as
+// strings such as "250ms", "10s" or "75m". Addresses are IP addresses, not names.
 type Common struct {
 	// Role is "entry" or "agent". Required.
 	Role Role `json:"role"`
@@ -38,29 +38,29 @@
 	Operators Operators `json:"operators"`
 	// Hosts is the platform's host list.
 	Hosts Hosts `json:"hosts"`
-	// Timings are the protocol's durations; all processes of a deployment
-	// have the same.
+	// Timings are the durations of the protocol. They must be the same in all
+	// processes of a deployment.
 	Timings Timings `json:"timings"`
-	// Limits bound queues and buffers.
+	// Limits limit queues and buffers.
 	Limits Limits `json:"limits"`
-	// Log is the form of log lines.
+	// Log configures log lines.
 	Log Log `json:"log"`
-	// Record is a file to which events and effects are recorded for replay.
-	// It holds request text. Default "": not recorded.
+	// Record is the file to which events and effects are recorded for replay.
+	// It contains request text. Default "": not recorded.
 	Record string `json:"record"`
-	// StopLimit is the longest graceful shutdown. Default 60s.
+	// StopLimit is the maximum duration of a graceful shutdown. Default 60s.
 	StopLimit time.Duration `json:"stopLimit"`
 }
 
-// TLS names the PEM files of a listener or dialler. They are read again when
-// they change, without a restart. Default: plain TCP.
+// TLS names the PEM files of a listener or dialler. They are reloaded when they
+// change, without a restart. Default: plain TCP.
 type TLS struct {
 	// Cert and Key are the certificate, with its chain, and its private key.
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// CA holds the certificate authorities that must have signed the other
-	// side's certificate. Between processes it is required with Cert; at the
-	// callers' and operators' listeners it makes clients show a certificate.
+	// CA is the file of the certificate authorities that must have signed the
+	// peer's certificate. Between processes it is required with Cert. At the
+	// callers' and operators' listeners it makes client certificates mandatory.
 	CA string `json:"ca"`
 }
 
@@ -75,15 +75,15 @@
 	Common
 	// Callers is the callers' listener.
 	Callers Callers `json:"callers"`
-	// Peers is how the entry dials other processes of the system.
+	// Peers configures connections to agents.
 	Peers Dialler `json:"peers"`
 	// KV is the platform's key-value service.
 	KV KV `json:"kv"`
 }
 
-// Dialler is how an entry dials agents.
+// Dialler configures the connections of an entry to agents.
 type Dialler struct {
-	// TLS is the certificate that the entry shows to agents.
+	// TLS is the certificate that the entry presents to agents.
 	TLS TLS `json:"tls"`
 }
 
@@ -92,7 +92,7 @@
 	Common
 	// Peers is the listener for other processes of the system.
 	Peers Peers `json:"peers"`
-	// Backend is the backend server beside the agent.
+	// Backend is the backend server that the agent manages.
 	Backend Backend `json:"backend"`
 }
 
@@ -102,17 +102,17 @@
 	Listen netip.AddrPort `json:"listen"`
 	// MaxBodyBytes limits a request's body. Default 1 MiB.
 	MaxBodyBytes int64 `json:"maxBodyBytes"`
-	// MaxAnswerBytes limits a completion that is not streamed, which is held
-	// in memory until it is whole. Default 4 MiB.
+	// MaxAnswerBytes limits a completion that is not streamed, which is
+	// buffered in memory until it is complete. Default 4 MiB.
 	MaxAnswerBytes int64 `json:"maxAnswerBytes"`
-	// DefaultTimeout applies without a Request-Timeout header. Default 30s.
+	// DefaultTimeout applies to requests without a Request-Timeout header. Default 30s.
 	DefaultTimeout time.Duration `json:"defaultTimeout"`
-	// MaxTimeout is the longest Request-Timeout. Default 10m, at most 1h.
+	// MaxTimeout is the maximum Request-Timeout. Default 10m, at most 1h.
 	MaxTimeout time.Duration `json:"maxTimeout"`
-	// StopDelay is how long an entry that stops, and has said so at /readyz,
-	// still takes new requests. It is above the balancer's time between two
-	// checks, and above the time that callers keep idle connections. It is a
-	// part of StopLimit. Default 2s.
+	// StopDelay is how long a stopping entry, whose /readyz already reports not
+	// ready, still accepts new requests. It should be longer than the interval of
+	// the load balancer's checks and than the time for which callers keep idle
+	// connections. It is part of StopLimit. Default 2s.
 	StopDelay time.Duration `json:"stopDelay"`
 	TLS       TLS           `json:"tls"`
 }
@@ -121,8 +121,8 @@
 type Operators struct {
 	// Listen is "IP:port". Port 0 picks a free one. Required.
 	Listen netip.AddrPort `json:"listen"`
-	// Token is the operators' bearer token, 16 bytes or more. Default "": no
-	// token is asked for, which is allowed on a loopback address only.
+	// Token is the operators' bearer token of at least 16 bytes. Default "": no
+	// token is required, which is allowed only on a loopback address.
 	Token string `json:"token"`
 	TLS   TLS    `json:"tls"`
 }
@@ -133,44 +133,44 @@
 	Listen netip.AddrPort `json:"listen"`
 	// Advertise is the "IP:port" that others dial. Default Listen.
 	Advertise netip.AddrPort `json:"advertise"`
-	// UpgradeRate is the number of new connections accepted per second;
-	// more are refused early with TooManyUpgrades. Default 50.
+	// UpgradeRate is the number of new connections accepted per second. Others
+	// are refused before the upgrade with TooManyUpgrades. Default 50.
 	UpgradeRate float64 `json:"upgradeRate"`
-	// UpgradeBurst is the number accepted at once. Default 100.
+	// UpgradeBurst is the number of new connections accepted at once. Default 100.
 	UpgradeBurst int `json:"upgradeBurst"`
-	// TLS is the certificate that the agent shows to entries. With it, an entry
-	// without a certificate signed by the CA gives no orders.
+	// TLS is the certificate that the agent presents to entries. If it is set, the
+	// agent accepts orders only from entries whose certificate the CA signed.
 	TLS TLS `json:"tls"`
 }
 
 // KV is the platform's key-value service.
 type KV struct {
-	// URL is its base URL with an IP number. Required.
+	// URL is its base URL with an IP address. Required.
 	URL string `json:"url"`
-	// Timeout bounds one call, but for the wait of a watch. Default 2s.
+	// Timeout limits one call, except a waiting watch. Default 2s.
 	Timeout time.Duration `json:"timeout"`
 }
 
 // Hosts is the platform's host list.
 type Hosts struct {
-	// URL is its URL with an IP number. Required.
+	// URL is its URL with an IP address. Required.
 	URL string `json:"url"`
-	// Interval is the time between two reads. Default 5s.
+	// Interval is the polling interval. Default 5s.
 	Interval time.Duration `json:"interval"`
 }
 
-// Backend is the backend server beside an agent.
+// Backend is the backend server of an agent.
 type Backend struct {
 	// Kind is "engine" or "service". Required.
 	Kind core.BackendKind `json:"kind"`
-	// URL is its base URL with an IP number. Required.
+	// URL is its base URL with an IP address. Required.
 	URL string `json:"url"`
 	// Service is the declared name of a plain service. Required for kind
-	// "service", absent for "engine".
+	// "service", not allowed for "engine".
 	Service string `json:"service"`
 }
 
-// Timings are core.Timings; see there for meanings and defaults.
+// Timings are the fields of core.Timings, which documents them and their defaults.
 type Timings struct {
 	Tenure         time.Duration `json:"tenure"`
 	TenureMargin   time.Duration `json:"tenureMargin"`
@@ -183,21 +183,22 @@
 	PingInterval   time.Duration `json:"pingInterval"`
 }
 
-// Core returns the timings in the reducer's form.
+// Core returns the timings as core.Timings.
 func (t Timings) Core() core.Timings { return core.Timings(t) }
 
-// Limits bound queues and buffers.
+// Limits limits queues and buffers.
 type Limits struct {
-	// QueueLength is the number of requests that wait at once. Default 1000.
+	// QueueLength is the maximum number of queued requests. Default 1000.
 	QueueLength int `json:"queueLength"`
-	// QueueBytes is the memory of the bodies that wait. Default 16 MiB.
+	// QueueBytes is the maximum memory of the bodies of queued requests. Default
+	// 16 MiB.
 	QueueBytes int64 `json:"queueBytes"`
-	// StreamWindow is the number of data frames of one answer on their way
-	// between backend server and caller. Default 32.
+	// StreamWindow is the maximum number of data frames of one response in
+	// flight between backend server and caller. Default 32.
 	StreamWindow int `json:"streamWindow"`
 }
 
-// Log is the form of log lines.
+// Log configures log lines.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error". Default "info".
 	Level string `json:"level"`
