--- a/internal/hangup/early.go
+++ b/internal/hangup/early.go
@@ -7,8 +7,8 @@
 
 static int ignored_by_parent;
 
-// Runs before the Go runtime starts: until that handles signals, some milliseconds later on a
-// busy host, SIGHUP would end the process.
+// Runs before the Go runtime starts. Until the runtime handles signals, some milliseconds
+// later on a busy host, SIGHUP would terminate the process.
 __attribute__((constructor)) static void ignore_hangup(void) {
 	struct sigaction now = {0}, before;
 	now.sa_handler = SIG_IGN;
@@ -22,8 +22,9 @@
 */
 import "C"
 
-// ignoredByParent tells that the process was started with SIGHUP ignored, as nohup does.
+// ignoredByParent reports whether the process was started with SIGHUP ignored, as nohup does.
 func ignoredByParent() bool { return C.was_ignored() != 0 }
 
-// defaultHangup takes the early handler away: package signal resets to what it found.
+// defaultHangup resets SIGHUP to the default action. signal.Reset alone would restore the
+// disposition that the Go runtime found at its start, which is to ignore the signal.
 func defaultHangup() { C.default_hangup() }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,10 +1,10 @@
-// Package hangup keeps SIGHUP, which asks a daemon to read its settings again, from ending
+// Package hangup prevents SIGHUP, which makes a daemon reload its settings, from terminating
 // the process.
 //
-// The signal has no effect from before the Go runtime starts (early.go), and is noted from
-// this package's start on, which needs nothing but the standard library's signals and comes
-// before most of a process's start. A signal that comes while the program is being loaded
-// still ends it: nothing of ours runs then.
+// The signal is ignored from before the start of the Go runtime (early.go), and recorded from
+// the initialization of this package on. The package imports only the standard library, so it
+// is initialized before most of the process. A SIGHUP that arrives while the program is being
+// loaded still terminates it, because no code of the program runs then.
 package hangup
 
 import (
@@ -13,21 +13,22 @@
 	"syscall"
 )
 
-// signals is set up before main begins.
-var signals = catch()
+// signals receives SIGHUP from package initialization on, before main starts.
+var signals = notifyHangup()
 
-func catch() chan os.Signal {
+func notifyHangup() chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	return c
 }
 
-// C returns the channel on which each SIGHUP since the process's start arrives, several that
-// follow one another as one.
+// C returns the channel that receives every SIGHUP since package initialization. Signals that
+// arrive before the previous one was received are merged into one.
 func C() <-chan os.Signal { return signals }
 
-// Release gives SIGHUP back the effect that it had when the process was started, in one that
-// has no settings to read again. It reports whether the signal ends the process then.
+// Restore restores the effect that SIGHUP had when the process was started. Processes that
+// have no settings to reload call it. It reports whether the signal then terminates the
+// process.
 func Restore() (ends bool) {
 	if ignoredByParent() {
 		signal.Ignore(syscall.SIGHUP)
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -25,17 +25,17 @@
 	return cmd
 }
 
-// endedBy is the signal that ended a process, 0 if it ended by itself.
+// endedBy returns the signal that terminated a process, or 0 if it exited by itself.
 func endedBy(cmd *exec.Cmd) syscall.Signal {
-	_ = cmd.Wait() // its status is looked at below
+	_ = cmd.Wait() // the status is checked below
 	if status := cmd.ProcessState.Sys().(syscall.WaitStatus); status.Signaled() {
 		return status.Signal()
 	}
 	return 0
 }
 
-// Guards against a process that a reload ends while it starts: SIGHUP comes while the
-// settings are being read, before anything handles it.
+// Guards against a reload that terminates a process during its start: SIGHUP arrives while the
+// settings are being read, before the daemon handles it.
 func TestHangupWhileSettingsAreRead(t *testing.T) {
 	for _, role := range []string{"router", "loader", "entry", "agent"} {
 		t.Run(role, func(t *testing.T) {
@@ -44,14 +44,14 @@
 				t.Fatal(err)
 			}
 			cmd := start(t, role, pipe)
-			settings, err := os.OpenFile(pipe, os.O_WRONLY, 0) // waits until the daemon reads it
+			settings, err := os.OpenFile(pipe, os.O_WRONLY, 0) // blocks until the daemon opens it for reading
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
-			_, _ = settings.WriteString("{}") // to a process that is gone there is nothing to write
+			_, _ = settings.WriteString("{}") // fails if the process has ended, which endedBy detects
 			_ = settings.Close()
 			if signal := endedBy(cmd); signal != 0 {
 				t.Errorf("ended by %v", signal)
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkHangupDuringStart shows how many of the processes that get SIGHUP so long after
-// they were started are ended by it.
+// BenchmarkHangupDuringStart measures the share of processes that SIGHUP terminates, by the
+// time between process start and signal.
 func BenchmarkHangupDuringStart(b *testing.B) {
 	for _, after := range []time.Duration{0, 1, 2, 3, 5, 8, 12, 20, 40} {
 		after *= time.Millisecond
--- a/internal/hangup/late.go
+++ b/internal/hangup/late.go
@@ -7,9 +7,10 @@
 	"syscall"
 )
 
-// foundIgnored is read before the signal is caught.
-var foundIgnored = signal.Ignored(syscall.SIGHUP)
+// initiallyIgnored is whether SIGHUP was ignored. It must be read before notifyHangup, which
+// clears that state.
+var initiallyIgnored = signal.Ignored(syscall.SIGHUP)
 
-func ignoredByParent() bool { return foundIgnored }
+func ignoredByParent() bool { return initiallyIgnored }
 
 func defaultHangup() {}
