--- a/internal/code/table.go
+++ b/internal/code/table.go
@@ -2,21 +2,20 @@
 
 import "strconv"
 
-// Info describes one result code. The list is the source of docs/ERRORS.md.
+// Info describes one result code. docs/ERRORS.md is generated from the list.
 type Info struct {
 	Code Code
-	// Name is the identifier of the constant, used in answers and logs.
+	// Name is the identifier of the constant, used in responses and logs.
 	Name string
-	// Status is the HTTP status that accompanies the code when an answer
-	// carries it.
+	// Status is the HTTP status of responses with the code.
 	Status int
-	// Meaning is one line for the operator or caller who meets the code.
+	// Meaning explains the code to operators and callers in one line.
 	Meaning string
 }
 
-// statusCallerGone is the status that proxies use by convention for a request
-// whose caller closed its connection. No caller ever reads it.
-const statusCallerGone = 499
+// statusClientClosedRequest is the status that proxies use by convention for a
+// request whose caller closed the connection. It is never received by a caller.
+const statusClientClosedRequest = 499
 
 var table = []Info{
 	{OK, "OK", 200, "success"},
@@ -41,7 +40,7 @@
 	{NotReady, "NotReady", 503, "the process has no configuration yet"},
 	{DeadlinePassed, "DeadlinePassed", 504, "the deadline passed before the request started"},
 	{TooManyUpgrades, "TooManyUpgrades", 503, "the token bucket refused a new connection between processes"},
-	{Cancelled, "Cancelled", statusCallerGone, "the caller went away before the request started"},
+	{Cancelled, "Cancelled", statusClientClosedRequest, "the caller went away before the request started"},
 	{NoMemory, "NoMemory", 503, "accelerator memory is taken by busy models"},
 	{DuplicateKey, "DuplicateKey", 422, "the idempotency key was used before with a different request"},
 	{Starved, "Starved", 503, "the process gets too little processor time for its work; another entry host may serve the request"},
@@ -90,7 +89,7 @@
 // Table returns all codes in ascending order.
 func Table() []Info { return append([]Info(nil), table...) }
 
-// String returns the name, or the number of a code that has none.
+// String returns the name, or the number if the code has no name.
 func (c Code) String() string {
 	if info, ok := byCode[c]; ok {
 		return info.Name
@@ -98,8 +97,8 @@
 	return strconv.Itoa(int(c))
 }
 
-// HTTPStatus returns the status of an answer that carries the code; 500 for a
-// code without a name, such as one from a newer process.
+// HTTPStatus returns the HTTP status of responses with the code. It returns 500
+// for an unknown code, such as one from a process of a newer version.
 func (c Code) HTTPStatus() int {
 	if info, ok := byCode[c]; ok {
 		return info.Status
