--- a/internal/api/bind.go
+++ b/internal/api/bind.go
@@ -28,26 +28,26 @@
 	return 1 + sort.SearchInts(x.newlines, offset)
 }
 
-// binder fills typed resources from a syntax tree. Unlike encoding/json it
-// goes on after a problem, so that an author sees all of them at once, and
-// knows the line of each value.
+// binder decodes a syntax tree into typed resources. Unlike encoding/json it
+// continues after a problem, so that all problems are reported at once, and it
+// records the line of each value.
 type binder struct {
 	file     string
 	lines    lineIndex
 	problems []Problem
 
-	// Of the resource being bound:
-	name  string
-	found *source
+	// The resource being decoded:
+	name   string
+	source *source
 }
 
-// resource binds and checks one resource.
+// resource decodes and validates one resource.
 func (b *binder) resource(v *hujson.Value) Resource {
-	b.found = &source{file: b.file, lines: map[string]int{}}
+	b.source = &source{file: b.file, lines: map[string]int{}}
 	b.name = ""
 	before := len(b.problems)
 	kind, known := b.kind(v)
-	r := Resource{Spec: newSpec(kind), source: b.found}
+	r := Resource{Spec: newSpec(kind), source: b.source}
 	if !known {
 		return r
 	}
@@ -70,8 +70,8 @@
 	return r.Key().String()
 }
 
-// kind reads the kind ahead of the other fields, because it decides the type
-// of the spec.
+// kind reads the kind before the other fields, because it determines the type of
+// the spec.
 func (b *binder) kind(v *hujson.Value) (Kind, bool) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -98,13 +98,13 @@
 	return "", false
 }
 
-// formerKinds are kinds that have other names now.
-var formerKinds = map[string]Kind{"Customer": KindClientAccount}
+// renamedKinds maps former names of kinds to the current ones.
+var renamedKinds = map[string]Kind{"Customer": KindClientAccount}
 
-// kindWanted tells what a wrong kind should be.
+// kindWanted describes the accepted kinds for an unknown one.
 func kindWanted(v hujson.Value) string {
 	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == '"' {
-		if now, known := formerKinds[literal.String()]; known {
+		if now, known := renamedKinds[literal.String()]; known {
 			return string(now) + ", as this kind is named now"
 		}
 	}
@@ -123,16 +123,16 @@
 	return m.Name.Value.(hujson.Literal).String()
 }
 
-// value binds one value of any supported type.
+// value decodes one value of any supported type.
 func (b *binder) value(path string, v *hujson.Value, dst reflect.Value) {
-	b.found.lines[path] = b.lines.line(v.StartOffset)
+	b.source.lines[path] = b.lines.line(v.StartOffset)
 	switch dst.Kind() {
 	case reflect.Struct:
 		b.structure(path, v, dst)
 	case reflect.Interface:
 		b.value(path, v, dst.Elem().Elem())
 	case reflect.Map:
-		b.textMap(path, v, dst)
+		b.stringMap(path, v, dst)
 	case reflect.Slice:
 		b.slice(path, v, dst)
 	default:
@@ -140,8 +140,8 @@
 	}
 }
 
-// statusField is written by the API. It is skipped when read, so that what the
-// API answered can be sent back.
+// statusField is written by the API. It is ignored in declarations, so that a
+// response of the API can be sent back unchanged.
 const statusField = "status"
 
 func (b *binder) structure(path string, v *hujson.Value, dst reflect.Value) {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (b *binder) textMap(path string, v *hujson.Value, dst reflect.Value) {
+func (b *binder) stringMap(path string, v *hujson.Value, dst reflect.Value) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
 		b.report(path, v, "an object of strings")
@@ -223,9 +223,9 @@
 	}
 }
 
-// report adds a problem about a value of the wrong type.
+// report adds a problem about a value of an invalid type.
 func (b *binder) report(path string, v *hujson.Value, wanted string) {
-	b.problem(path, v, shown(v), wanted)
+	b.problem(path, v, describeValue(v), wanted)
 }
 
 func (b *binder) problem(path string, v *hujson.Value, got, wanted string) {
@@ -234,25 +234,25 @@
 	})
 }
 
-// maxShown bounds how many bytes of a wrong value are quoted.
-const maxShown = 60
+// maxShownBytes limits the bytes of an invalid value in a message.
+const maxShownBytes = 60
 
-func shown(v *hujson.Value) string {
+func describeValue(v *hujson.Value) string {
 	switch value := v.Value.(type) {
 	case *hujson.Object:
 		return "an object"
 	case *hujson.Array:
 		return "an array"
 	case hujson.Literal:
-		return clip(string(value))
+		return truncate(string(value))
 	default:
 		return "nothing"
 	}
 }
 
-func clip(s string) string {
-	if len(s) > maxShown {
-		return strings.ToValidUTF8(s[:maxShown], "") + "..."
+func truncate(s string) string {
+	if len(s) > maxShownBytes {
+		return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
 	}
 	return s
 }
--- a/internal/api/build.go
+++ b/internal/api/build.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Build checks a whole set of resources and returns it as a snapshot with all
-// defaults filled in. The snapshot shares nothing with the resources that a
-// later Build would change. Errors are *DeclarationError.
+// Build validates a complete set of resources and returns it as a snapshot with all
+// defaults set. The snapshot does not share data with the resources that a later
+// Build would modify. Errors are *DeclarationError.
 func Build(revision int64, resources []Resource) (*Snapshot, error) {
 	if err := Check(resources); err != nil {
 		return nil, err
--- a/internal/api/crosscheck.go
+++ b/internal/api/crosscheck.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// set indexes resources while they are checked against each other.
-type set struct {
+// resourceSet indexes resources while they are checked against each other.
+type resourceSet struct {
 	byKey    map[Key]Resource
 	digests  map[string]Key
 	problems []Problem
-	// before and deleted are set when a patch is checked: resources that
-	// byKey does not hold are those of before less deleted.
+	// before and deleted are set when a patch is checked. Resources that byKey
+	// does not contain are then those of before, except deleted.
 	before  *Snapshot
 	deleted map[Key]bool
 }
 
-// Check checks resources each by itself and against each other: unique names,
-// an adapter's base and limits, and unique API keys. It returns all problems
-// in a *DeclarationError.
+// Check validates each resource and the relations between them: unique names,
+// an adapter's base and limits, and unique API keys. It returns all problems in
+// a *DeclarationError.
 func Check(resources []Resource) error {
-	s := &set{byKey: map[Key]Resource{}, digests: map[string]Key{}}
+	s := &resourceSet{byKey: map[Key]Resource{}, digests: map[string]Key{}}
 	for _, r := range resources {
 		s.problems = append(s.problems, checkResource(r)...)
 		s.add(r)
@@ -28,7 +28,7 @@
 	return asError(s.problems)
 }
 
-func (s *set) crossCheck(r Resource) {
+func (s *resourceSet) crossCheck(r Resource) {
 	switch spec := r.Spec.(type) {
 	case *AdapterSpec:
 		s.adapter(r, spec)
@@ -38,7 +38,7 @@
 }
 
 // model returns a declared model.
-func (s *set) model(name string) (*ModelSpec, bool) {
+func (s *resourceSet) model(name string) (*ModelSpec, bool) {
 	key := Key{Kind: KindModel, Name: name}
 	if r, ok := s.byKey[key]; ok {
 		return r.Spec.(*ModelSpec), true
@@ -49,21 +49,21 @@
 	return &s.before.Models[name].Spec, true
 }
 
-func (s *set) report(r Resource, path, got, wanted string) {
+func (s *resourceSet) report(r Resource, path, got, wanted string) {
 	s.problems = append(s.problems, r.problem(path, got, wanted))
 }
 
-func (s *set) add(r Resource) {
-	if _, twice := s.byKey[r.Key()]; twice {
+func (s *resourceSet) add(r Resource) {
+	if _, duplicate := s.byKey[r.Key()]; duplicate {
 		s.report(r, "metadata.name", fmt.Sprintf("%q a second time", r.Metadata.Name), "a name unique within its kind")
 		return
 	}
 	s.byKey[r.Key()] = r
 }
 
-func (s *set) adapter(r Resource, spec *AdapterSpec) {
-	// Callers name a model or an adapter in the same field, and checkpoints of
-	// both share the key space "<name>@<version>".
+func (s *resourceSet) adapter(r Resource, spec *AdapterSpec) {
+	// Requests name a model or an adapter in the same field, and the checkpoints
+	// of both share the key space "<name>@<version>".
 	if _, taken := s.model(r.Metadata.Name); taken {
 		s.report(r, "metadata.name", fmt.Sprintf("%q", r.Metadata.Name), "a name that no Model has")
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-func (s *set) account(r Resource, spec *ClientAccountSpec) {
+func (s *resourceSet) account(r Resource, spec *ClientAccountSpec) {
 	for i, digest := range spec.APIKeySHA256 {
 		if owner, taken := s.digests[digest]; taken {
 			s.report(r, fmt.Sprintf("spec.apiKeySHA256[%d]", i), "a digest also in "+owner.String(), "a key of one client account, listed once")
--- a/internal/api/defaults.go
+++ b/internal/api/defaults.go
@@ -2,9 +2,9 @@
 
 import "nutmeglane.example/nutmeglane/internal/defaults"
 
-// Defaults of declared fields. They are written into the resource when it is
-// parsed, so that daemons of different versions, with different defaults, put
-// the same values in force.
+// Defaults of declared fields. They are set in the resource when it is parsed, so
+// that daemons of different versions, with different defaults, use the same
+// values.
 const (
 	DefaultReplicasMax         = 1
 	DefaultModelConcurrent     = 8
@@ -14,18 +14,18 @@
 	DefaultIdleHourPrice       = 20.0
 	DefaultStoreLoadsPerSecond = 5.0
 	DefaultStoreLanes          = 4
-	// DeploymentName is the name of the one Deployment that is read.
+	// DeploymentName is the required name of the only Deployment.
 	DeploymentName = "default"
 )
 
-// defaultIdempotentMethods are the methods that RFC 9110 section 9.2.2 calls
-// idempotent, less TRACE.
+// defaultIdempotentMethods returns the methods that RFC 9110 section 9.2.2 defines
+// as idempotent, except TRACE.
 func defaultIdempotentMethods() []string {
 	return []string{"GET", "HEAD", "OPTIONS", "PUT", "DELETE"}
 }
 
-// applyDefaults fills in the fields that were left out, except an adapter's
-// priority, which depends on its base and is filled in by Build.
+// applyDefaults sets omitted fields to their defaults, except an adapter's
+// priority, which depends on its base and is set by Build.
 func applyDefaults(r *Resource) {
 	switch spec := r.Spec.(type) {
 	case *ModelSpec:
--- a/internal/api/parse.go
+++ b/internal/api/parse.go
@@ -11,18 +11,18 @@
 	"github.com/tailscale/hujson"
 )
 
-// extensions are the file names' endings that ParseDir reads.
+// extensions are the extensions of the files that ParseDir reads.
 var extensions = []string{".json", ".jsonc", ".hujson"}
 
-// maxNesting bounds the depth of a declaration. Deeper input is refused before
-// the recursive parser sees it: megabytes of opening brackets would overflow
-// the stack, which ends the process and can't be recovered.
+// maxNesting limits the depth of a declaration. Deeper input is rejected before it
+// reaches the recursive parser: megabytes of opening brackets would overflow the
+// stack, which terminates the process and can't be recovered.
 const maxNesting = 32
 
-// ParseFile reads declarations from JSON with comments: one resource or an
-// array of them. Each resource is checked by itself and has its defaults
-// filled in; Check covers the whole set. All problems are reported, in a
-// *DeclarationError. The name is used in messages only.
+// ParseFile parses declarations from JSON with comments: one resource or an array
+// of resources. Each resource is validated separately and its defaults are set;
+// Check validates the whole set. All problems are returned in a *DeclarationError.
+// The name is used only in messages.
 func ParseFile(name string, data []byte) ([]Resource, error) {
 	if depth(data) > maxNesting {
 		return nil, asError([]Problem{{File: name, Got: "deeper nesting", Wanted: "at most 32 levels"}})
@@ -43,8 +43,8 @@
 	return resources, asError(b.problems)
 }
 
-// Standardize returns JSON with comments as plain JSON. As ParseFile does, it
-// refuses what is nested too deeply.
+// Standardize converts JSON with comments to plain JSON. Like ParseFile it rejects
+// input that is nested too deeply.
 func Standardize(data []byte) ([]byte, error) {
 	if depth(data) > maxNesting {
 		return nil, errors.Newf("more than %d levels of nesting", maxNesting)
@@ -52,9 +52,9 @@
 	return hujson.Standardize(slices.Clone(data))
 }
 
-// ParseDir reads all declaration files of a directory (.json, .jsonc and
-// .hujson, not its subdirectories) in the order of their names. It reports
-// the problems of all files together.
+// ParseDir parses all declaration files of a directory (.json, .jsonc and .hujson,
+// without subdirectories) in the order of their names. It returns the problems of
+// all files together.
 func ParseDir(dir string) ([]Resource, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return resources, asError(problems)
 }
 
-// depth returns the nesting of a JSON text with comments, up to its first
-// syntax error. Brackets within strings and comments don't count.
+// depth returns the nesting depth of JSON with comments, up to the first syntax
+// error. Brackets within strings and comments are not counted.
 func depth(data []byte) int {
 	level, deepest := 0, 0
 	for i := 0; i < len(data); i++ {
@@ -101,7 +101,7 @@
 	return deepest
 }
 
-// stringEnd returns the index of the quote that closes the string begun at i.
+// stringEnd returns the index of the closing quote of the string that starts at i.
 func stringEnd(data []byte, i int) int {
 	for i++; i < len(data) && data[i] != '"'; i++ {
 		if data[i] == '\\' {
@@ -111,8 +111,8 @@
 	return i
 }
 
-// commentEnd returns the index of the last byte of the comment begun at i, or
-// i if none begins there.
+// commentEnd returns the index of the last byte of the comment that starts at i, or
+// i if no comment starts there.
 func commentEnd(data []byte, i int) int {
 	rest, end := data[i:], ""
 	switch {
@@ -130,7 +130,7 @@
 	return i + 2 + length + len(end) - 1
 }
 
-// source remembers where the fields of a resource stand.
+// source holds the file of a resource and the lines of its fields.
 type source struct {
 	file  string
 	lines map[string]int
@@ -150,7 +150,8 @@
 	}
 }
 
-// problem returns a problem of a resource's field, with its place if known.
+// problem returns a problem with a field of the resource, with its file and line if
+// known.
 func (r Resource) problem(path, got, wanted string) Problem {
 	p := Problem{Path: path, Got: got, Wanted: wanted}
 	if r.Metadata.Name != "" {
--- a/internal/api/parse_test.go
+++ b/internal/api/parse_test.go
@@ -17,7 +17,7 @@
 	return `{"apiVersion": "nutmeglane/v1", "kind": "` + kind + `", "metadata": {"name": "` + name + `"}, "spec": ` + spec + "}"
 }
 
-// messages returns the lines of a declaration error, without its first.
+// messages returns the lines of a declaration error except the first.
 func messages(t *testing.T, err error) []string {
 	t.Helper()
 	var bad *DeclarationError
@@ -166,8 +166,8 @@
 	}
 }
 
-// FuzzParseFile checks that whatever is accepted survives encoding, and that
-// whatever is refused is refused with a reason.
+// FuzzParseFile checks that accepted input can be encoded and parsed again, and that
+// rejected input is rejected with a reason.
 func FuzzParseFile(f *testing.F) {
 	f.Add(declare("Model", "m", `{"version": "1", "memoryMiB": 7}`))
 	f.Add("[" + declare("ClientAccount", "c", `{"apiKeySHA256": ["`+digest+`"], "weight": 3,}`) + "]")
--- a/internal/api/patch.go
+++ b/internal/api/patch.go
@@ -5,18 +5,17 @@
 	"slices"
 )
 
-// Patch returns the snapshot that differs from s by the resources put and the
-// keys deleted. It is equal to one that Build makes from all resources, but
-// costs in proportion to the change: what did not change is shared with s, and
-// of the kinds that did change only the map is copied. Errors are
-// *DeclarationError.
+// Patch returns a copy of s with the resources in put added or replaced and those in
+// deleted removed. The result equals that of Build from all resources, but the cost
+// is proportional to the change: unchanged resources are shared with s, and for
+// changed kinds only the map is copied. Errors are *DeclarationError.
 func (s *Snapshot) Patch(revision int64, put []Resource, deleted []Key) (*Snapshot, error) {
 	if err := s.CheckPatch(put, deleted); err != nil {
 		return nil, err
 	}
 	next := *s
 	next.Revision = revision
-	next.ownMaps(put, deleted)
+	next.cloneChangedMaps(put, deleted)
 	for _, key := range deleted {
 		next.remove(key)
 	}
@@ -28,12 +27,12 @@
 	return &next, nil
 }
 
-// ownMaps copies the maps of the kinds that a patch changes.
-func (s *Snapshot) ownMaps(put []Resource, deleted []Key) {
+// cloneChangedMaps copies the maps of the kinds that a patch changes.
+func (s *Snapshot) cloneChangedMaps(put []Resource, deleted []Key) {
 	changed := map[Kind]bool{}
 	for _, r := range put {
 		changed[r.Kind] = true
-		// A changed base may change its adapters' default priority.
+		// A change of a base model may change the default priority of its adapters.
 		changed[KindAdapter] = changed[KindAdapter] || r.Kind == KindModel
 	}
 	for _, key := range deleted {
@@ -68,28 +67,28 @@
 	}
 }
 
-// inheritPriorities gives adapters that declare no priority that of their
-// base, after a patch of before.
+// inheritPriorities sets the priority of adapters that declare none to that of their
+// base, after a patch of the snapshot before.
 func (s *Snapshot) inheritPriorities(before *Snapshot, put []Resource) {
-	moved := map[string]bool{}
+	priorityChanged := map[string]bool{}
 	for _, r := range put {
 		switch spec := r.Spec.(type) {
 		case *AdapterSpec:
 			s.inheritPriority(r.Metadata.Name)
 		case *ModelSpec:
 			if old := before.Models[r.Metadata.Name]; old != nil && old.Spec.Priority != spec.Priority {
-				moved[r.Metadata.Name] = true
+				priorityChanged[r.Metadata.Name] = true
 			}
 		}
 	}
-	if len(moved) == 0 {
+	if len(priorityChanged) == 0 {
 		return
 	}
 	for name, adapter := range s.Adapters {
-		if adapter.InheritsPriority && moved[adapter.Spec.Base] {
-			own := *adapter
-			own.Spec.Priority = ""
-			s.Adapters[name] = &own
+		if adapter.InheritsPriority && priorityChanged[adapter.Spec.Base] {
+			updated := *adapter
+			updated.Spec.Priority = ""
+			s.Adapters[name] = &updated
 			s.inheritPriority(name)
 		}
 	}
@@ -103,12 +102,12 @@
 	}
 }
 
-// CheckPatch finds the problems that Check would find in all resources after a
-// patch, if it finds none in s. Only what the patch can break is looked at:
-// the resources put, adapters of a changed base or with a changed model's
-// name, and, if a client account changed, the keys of all client accounts.
+// CheckPatch returns the problems that Check would find in all resources after a
+// patch, provided that s has none. Only what the patch can invalidate is checked:
+// the resources in put, adapters of a changed base or with the name of a changed
+// model, and, if a client account changed, the keys of all client accounts.
 func (s *Snapshot) CheckPatch(put []Resource, deleted []Key) error {
-	after := &set{byKey: map[Key]Resource{}, digests: map[string]Key{}, before: s, deleted: map[Key]bool{}}
+	after := &resourceSet{byKey: map[Key]Resource{}, digests: map[string]Key{}, before: s, deleted: map[Key]bool{}}
 	for _, key := range deleted {
 		after.deleted[key] = true
 	}
@@ -124,24 +123,24 @@
 	return asError(after.problems)
 }
 
-// affected lists the resources whose cross-checks a patch may have changed, by
-// kind and name, as Check is given them.
-func (s *set) affected(put []Resource, deleted []Key) []Resource {
+// affected returns the resources for which a patch may change the result of
+// crossCheck, sorted by kind and name, the order in which Check receives them.
+func (s *resourceSet) affected(put []Resource, deleted []Key) []Resource {
 	models, accounts := map[string]bool{}, false
-	touch := func(key Key) {
+	markChanged := func(key Key) {
 		if key.Kind == KindModel {
 			models[key.Name] = true
 		}
 		accounts = accounts || key.Kind == KindClientAccount
 	}
 	for _, r := range put {
-		touch(r.Key())
+		markChanged(r.Key())
 	}
 	for _, key := range deleted {
-		touch(key)
+		markChanged(key)
 	}
 	resources := slices.Clone(put)
-	keep := func(key Key) {
+	addUnpatched := func(key Key) {
 		if _, isPut := s.byKey[key]; isPut || s.deleted[key] {
 			return
 		}
@@ -151,13 +150,13 @@
 	if len(models) > 0 {
 		for name, adapter := range s.before.Adapters {
 			if models[name] || models[adapter.Spec.Base] {
-				keep(Key{Kind: KindAdapter, Name: name})
+				addUnpatched(Key{Kind: KindAdapter, Name: name})
 			}
 		}
 	}
 	if accounts {
 		for name := range s.before.ClientAccounts {
-			keep(Key{Kind: KindClientAccount, Name: name})
+			addUnpatched(Key{Kind: KindClientAccount, Name: name})
 		}
 	}
 	slices.SortStableFunc(resources, func(a, b Resource) int { return a.Key().Compare(b.Key()) })
--- a/internal/api/patch_test.go
+++ b/internal/api/patch_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPatchEqualsBuild patches a snapshot with random changes, good and bad,
-// and compares each result with that of Build from all resources: the same
-// snapshot or the same problems. The snapshot that was patched stays as it was.
+// TestPatchEqualsBuild applies random valid and invalid patches to a snapshot and
+// compares each result with that of Build from all resources: the snapshot or the
+// problems must be the same. The patched snapshot must not be modified.
 func TestPatchEqualsBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		declared := map[Key]Resource{}
@@ -39,8 +39,8 @@
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Fatal(diff)
 			}
-			if diff := cmp.Diff(must(t, inForce.Revision, declared), inForce); diff != "" {
-				t.Fatalf("the snapshot patched has changed: %s", diff)
+			if diff := cmp.Diff(mustBuild(t, inForce.Revision, declared), inForce); diff != "" {
+				t.Fatalf("Patch modified its receiver: %s", diff)
 			}
 			if gotErr == nil {
 				declared, inForce = next, got
@@ -52,7 +52,7 @@
 	})
 }
 
-func must(t *rapid.T, revision int64, declared map[Key]Resource) *Snapshot {
+func mustBuild(t *rapid.T, revision int64, declared map[Key]Resource) *Snapshot {
 	s, err := Build(revision, slices.Collect(maps.Values(declared)))
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	return s
 }
 
-// randomPatch draws from few names, so that changes meet each other.
+// randomPatch draws from few names, so that changes often concern the same resource.
 func randomPatch(t *rapid.T, declared map[Key]Resource) (put []Resource, deleted []Key) {
 	named := map[Key]bool{}
 	for range rapid.IntRange(1, 4).Draw(t, "resources") {
--- a/internal/api/problem.go
+++ b/internal/api/problem.go
@@ -7,9 +7,9 @@
 	"nutmeglane.example/nutmeglane/internal/code"
 )
 
-// Problem is one fault in a set of declarations.
+// Problem is one error in a set of declarations.
 type Problem struct {
-	// File and Line tell where the value stands; empty and 0 if it did not
+	// File and Line are the position of the value, empty and 0 if it does not
 	// come from a file.
 	File string `json:"file,omitempty"`
 	Line int    `json:"line,omitempty"`
@@ -17,7 +17,7 @@
 	Resource string `json:"resource,omitempty"`
 	// Path is the field within the resource, such as "spec.replicas.max".
 	Path string `json:"path,omitempty"`
-	// Got is the value found, Wanted what is accepted there.
+	// Got is the actual value, Wanted describes the accepted values.
 	Got    string `json:"got"`
 	Wanted string `json:"wanted"`
 }
--- a/internal/api/resource.go
+++ b/internal/api/resource.go
@@ -24,14 +24,14 @@
 	return cmp.Or(cmp.Compare(k.Kind, other.Kind), cmp.Compare(k.Name, other.Name))
 }
 
-// Resource is the envelope of any declared resource. Its JSON form is stable:
-// equal resources have equal bytes.
+// Resource is the envelope of any declared resource. Its JSON encoding is
+// deterministic: equal resources have equal bytes.
 type Resource struct {
 	APIVersion string   `json:"apiVersion"`
 	Kind       Kind     `json:"kind"`
 	Metadata   Metadata `json:"metadata"`
 	// Spec is a *ModelSpec, *AdapterSpec, *ServiceSpec, *ClientAccountSpec or
-	// *DeploymentSpec, as Kind says.
+	// *DeploymentSpec, depending on Kind.
 	Spec any `json:"spec"`
 
 	source *source
@@ -48,7 +48,8 @@
 // Plural returns the kind's name in paths of the operators' API.
 func (k Kind) Plural() string { return strings.ToLower(string(k)) + "s" }
 
-// KindOf returns the kind whose plural, singular or exact name is given.
+// KindOf returns the kind with the given plural name, or with the given name in any
+// case.
 func KindOf(name string) (Kind, bool) {
 	for _, k := range Kinds() {
 		if name == k.Plural() || strings.EqualFold(name, string(k)) {
@@ -76,9 +77,9 @@
 	}
 }
 
-// UnmarshalJSON implements json.Unmarshaler for documents that this system
-// encoded itself. Declarations written by people go through ParseFile, which
-// checks every field and knows the lines.
+// UnmarshalJSON implements json.Unmarshaler for documents that this package encoded.
+// Declarations written by operators are parsed by ParseFile, which validates every
+// field and records line numbers.
 func (r *Resource) UnmarshalJSON(data []byte) error {
 	var form struct {
 		APIVersion string          `json:"apiVersion"`
@@ -101,7 +102,7 @@
 }
 
 // EncodeDocument returns the canonical document of a set of resources: a JSON
-// array sorted by kind and name. It leaves the argument's order alone.
+// array sorted by kind and name. It does not modify the argument.
 func EncodeDocument(resources []Resource) ([]byte, error) {
 	sorted := slices.Clone(resources)
 	slices.SortFunc(sorted, func(a, b Resource) int { return a.Key().Compare(b.Key()) })
@@ -116,26 +117,27 @@
 	return JoinDocument(lines), nil
 }
 
-// lineEnd separates the resources of a document. Encoded JSON has no raw line
-// feed within a resource.
-var lineEnd = []byte(",\n")
+// resourceSeparator separates the resources of a document. An encoded resource
+// contains no raw line feed.
+var resourceSeparator = []byte(",\n")
 
-// JoinDocument returns the document of encoded resources.
+// JoinDocument returns the document that consists of the encoded resources.
 func JoinDocument(lines [][]byte) []byte {
-	return slices.Concat([]byte{'['}, bytes.Join(lines, lineEnd), []byte{']'})
+	return slices.Concat([]byte{'['}, bytes.Join(lines, resourceSeparator), []byte{']'})
 }
 
 // SplitDocument returns the encoded resources of a document that EncodeDocument
-// or JoinDocument wrote. They share its memory.
+// or JoinDocument returned. They share its memory.
 func SplitDocument(document []byte) [][]byte {
 	inner := bytes.TrimSuffix(bytes.TrimPrefix(document, []byte{'['}), []byte{']'})
 	if len(inner) == 0 {
 		return nil
 	}
-	return bytes.Split(inner, lineEnd)
+	return bytes.Split(inner, resourceSeparator)
 }
 
-// DocumentSize returns the number of resources in such a document.
+// DocumentSize returns the number of resources in a document that EncodeDocument or
+// JoinDocument returned.
 func DocumentSize(document []byte) int {
 	if len(document) <= len("[]") {
 		return 0
@@ -143,7 +145,7 @@
 	return bytes.Count(document, []byte{'\n'}) + 1
 }
 
-// DecodeKey reads only the key of an encoded resource.
+// DecodeKey decodes only the key of an encoded resource.
 func DecodeKey(line []byte) (Key, error) {
 	var form struct {
 		Kind     Kind `json:"kind"`
@@ -157,8 +159,8 @@
 	return Key{Kind: form.Kind, Name: form.Metadata.Name}, nil
 }
 
-// DecodeDocument reads a document written by EncodeDocument. It checks the
-// form only; Build checks the content.
+// DecodeDocument decodes a document that EncodeDocument returned. It checks only
+// the syntax; Build validates the content.
 func DecodeDocument(document []byte) ([]Resource, error) {
 	var resources []Resource
 	if err := json.Unmarshal(document, &resources); err != nil {
--- a/internal/api/schema.go
+++ b/internal/api/schema.go
@@ -12,7 +12,7 @@
 // schemaDialect is the version of JSON Schema that the schemas are written in.
 const schemaDialect = "https://json-schema.org/draft/2020-12/schema"
 
-// schema is the part of JSON Schema that is used here.
+// schema holds the JSON Schema keywords that declarations use.
 type schema struct {
 	Dialect     string             `json:"$schema,omitempty"`
 	Title       string             `json:"title,omitempty"`
@@ -33,64 +33,65 @@
 	Description string             `json:"description,omitempty"`
 }
 
-// rule adds to a field's schema what its Go type does not say. The rules are
-// those of validate.go; Check has the last word, also on what a schema can't
-// say, such as that an adapter's base exists.
+// rule adds constraints to a field's schema that its Go type does not express. The
+// rules match the checks in validate.go. Check is authoritative, and also covers
+// constraints that a schema can't express, such as that an adapter's base exists.
 type rule func(*schema)
 
-// A number that is left out is its zero value and gets its default, so 0 is
-// accepted wherever there is a default.
-func numbers(least, most int64) rule {
+// integerRange limits a number. An omitted number is decoded as 0 and replaced by
+// its default, so 0 is accepted wherever there is a default.
+func integerRange(least, most int64) rule {
 	return func(s *schema) { s.Minimum, s.Maximum = &least, &most }
 }
 
 func required(s *schema) { s.Description = requiredMark }
 
-// requiredMark is replaced by an entry in the parent's list of required fields.
+// requiredMark marks a required field in its description. structure replaces it by
+// an entry in the parent's list of required fields.
 const requiredMark = "required"
 
 func name(s *schema) { s.Pattern, s.MaxLength = namePattern.String(), MaxNameBytes }
 
 func priorities(s *schema) { s.Enum = []string{string(PriorityInteractive), string(PriorityBatch)} }
 
-// elements bounds a list, whose elements follow a pattern.
-func elements(least, most int, pattern string) rule {
+// listOf limits the length of a list whose elements match a pattern.
+func listOf(least, most int, pattern string) rule {
 	return func(s *schema) {
 		s.MinItems, s.MaxItems, s.Items.Pattern = least, most, pattern
 	}
 }
 
 var replicaRules = map[string][]rule{
-	"spec.replicas.min": {numbers(0, MaxReplicas)},
-	"spec.replicas.max": {numbers(0, MaxReplicas)},
+	"spec.replicas.min": {integerRange(0, MaxReplicas)},
+	"spec.replicas.max": {integerRange(0, MaxReplicas)},
 }
 
-// rules by kind and path.
+// rules holds the rules by kind and field path.
 var rules = map[Kind]map[string][]rule{
 	KindModel: {
-		"spec.version": {required, name}, "spec.memoryMiB": {required, numbers(1, MaxMemoryMiB)},
-		"spec.checkpointMiB": {numbers(0, MaxMemoryMiB)}, "spec.priority": {priorities},
-		"spec.maxConcurrent": {numbers(0, MaxConcurrentLimit)},
+		"spec.version": {required, name}, "spec.memoryMiB": {required, integerRange(1, MaxMemoryMiB)},
+		"spec.checkpointMiB": {integerRange(0, MaxMemoryMiB)}, "spec.priority": {priorities},
+		"spec.maxConcurrent": {integerRange(0, MaxConcurrentLimit)},
 	},
 	KindAdapter: {
 		"spec.base": {required, name}, "spec.version": {required, name},
-		"spec.memoryMiB": {required, numbers(1, MaxMemoryMiB)}, "spec.priority": {priorities},
+		"spec.memoryMiB": {required, integerRange(1, MaxMemoryMiB)}, "spec.priority": {priorities},
 	},
 	KindService: {
-		"spec.idempotentMethods":  {elements(0, MaxListed, methodPattern.String())},
-		"spec.nonIdempotentPaths": {elements(0, MaxListed, "^/")},
-		"spec.maxConcurrent":      {numbers(0, MaxConcurrentLimit)},
+		"spec.idempotentMethods":  {listOf(0, MaxListed, methodPattern.String())},
+		"spec.nonIdempotentPaths": {listOf(0, MaxListed, "^/")},
+		"spec.maxConcurrent":      {integerRange(0, MaxConcurrentLimit)},
 	},
 	KindClientAccount: {
-		"spec.apiKeySHA256": {required, elements(1, MaxKeysPerAccount, digestPattern.String())},
-		"spec.weight":       {numbers(0, MaxWeight)},
+		"spec.apiKeySHA256": {required, listOf(1, MaxKeysPerAccount, digestPattern.String())},
+		"spec.weight":       {integerRange(0, MaxWeight)},
 	},
 	KindDeployment: {
 		"metadata.name":            {func(s *schema) { s.Const = DeploymentName }},
-		"spec.coldStartPrice":      {numbers(0, MaxPrice)},
-		"spec.idleHourPrice":       {numbers(0, MaxPrice)},
-		"spec.storeLoadsPerSecond": {numbers(0, MaxPrice)},
-		"spec.storeLanes":          {numbers(0, MaxStoreLanes)},
+		"spec.coldStartPrice":      {integerRange(0, MaxPrice)},
+		"spec.idleHourPrice":       {integerRange(0, MaxPrice)},
+		"spec.storeLoadsPerSecond": {integerRange(0, MaxPrice)},
+		"spec.storeLanes":          {integerRange(0, MaxStoreLanes)},
 	},
 }
 
@@ -103,7 +104,7 @@
 	d := describer{kind: kind}
 	metadata := d.describe("metadata", reflect.TypeFor[Metadata]())
 	metadata.Required = []string{"name"}
-	whole := &schema{
+	root := &schema{
 		Dialect: schemaDialect, Title: string(kind), Type: "object", Additional: false,
 		Required: []string{"apiVersion", "kind", "metadata", "spec"},
 		Properties: map[string]*schema{
@@ -114,11 +115,11 @@
 			statusField:  {Type: "object", Description: "Written by the API; ignored in declarations."},
 		},
 	}
-	document, err := json.MarshalIndent(whole, "", "  ")
+	document, err := json.MarshalIndent(root, "", "  ")
 	return append(document, '\n'), errors.Wrap(err, "encode schema")
 }
 
-// describer turns Go types into schemas.
+// describer derives schemas from Go types.
 type describer struct{ kind Kind }
 
 func (d describer) describe(path string, t reflect.Type) *schema {
--- a/internal/api/schema_test.go
+++ b/internal/api/schema_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSchemaFiles compares docs/schema with what the command publishes.
+// TestSchemaFiles compares the files in docs/schema with the generated schemas.
 func TestSchemaFiles(t *testing.T) {
 	for _, kind := range Kinds() {
 		want, err := Schema(kind)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestSchemaRules finds a rule whose field was renamed: it would vanish from
-// the schema without a word.
+// TestSchemaRules detects a rule for a field that does not exist, such as one that
+// was renamed. Such a rule would be missing from the schema without an error.
 func TestSchemaRules(t *testing.T) {
 	for kind, byPath := range rules {
 		document, err := Schema(kind)
@@ -44,7 +44,7 @@
 			at := &root
 			for part := range strings.SplitSeq(path, ".") {
 				if at = at.Properties[part]; at == nil {
-					t.Fatalf("%s: a rule for %s, which is no field", kind, path)
+					t.Fatalf("%s: rule for %s, which is not a field", kind, path)
 				}
 			}
 		}
--- a/internal/api/types.go
+++ b/internal/api/types.go
@@ -1,6 +1,6 @@
-// Package api holds the resource types that operators declare and the
-// snapshot that the rest of the system reads. It has no I/O; controllers live
-// in other packages.
+// Package api defines the resource types that operators declare and the snapshot
+// that the other packages read. Apart from ParseDir it performs no I/O. Controllers
+// are in other packages.
 package api
 
 // Version is the only apiVersion accepted in declarations.
@@ -18,7 +18,7 @@
 	KindDeployment    Kind = "Deployment"
 )
 
-// Priority orders requests: interactive work goes before batch work.
+// Priority is the priority of requests: interactive requests precede batch requests.
 type Priority string
 
 // The request priorities.
@@ -32,21 +32,21 @@
 	// Name is unique within a kind: lower-case letters, digits, '-' and '.',
 	// at most 63 bytes. Written by the operator.
 	Name string `json:"name"`
-	// Labels are free text pairs. Written by the operator.
+	// Labels are arbitrary key-value pairs. Written by the operator.
 	Labels map[string]string `json:"labels,omitempty"`
 	// Generation grows by one at each change of spec. Written by the API.
 	Generation int64 `json:"generation,omitempty"`
 	// ResourceVersion is the configuration revision of the last change. A
-	// write that names an older one conflicts. Written by the API.
+	// write that states another one is a conflict. Written by the API.
 	ResourceVersion int64 `json:"resourceVersion,omitempty"`
 }
 
-// ReplicaLimits bounds the loaded replicas of a model or adapter.
+// ReplicaLimits limits the loaded replicas of a model or adapter.
 type ReplicaLimits struct {
 	// Min replicas are kept loaded even when idle. Default 0.
 	Min int `json:"min,omitempty"`
-	// Max is the number of slots decided: never more replicas than this are
-	// loaded. Default 1.
+	// Max is the number of slots, and so the maximum number of loaded replicas.
+	// Default 1.
 	Max int `json:"max"`
 }
 
@@ -55,7 +55,7 @@
 	// Version names the checkpoint in force; the weight store's key is
 	// "<model>@<version>". Required.
 	Version string `json:"version"`
-	// MemoryMiB is the accelerator memory one loaded replica takes, without
+	// MemoryMiB is the accelerator memory that one loaded replica uses, without
 	// adapters. Required.
 	MemoryMiB int64 `json:"memoryMiB"`
 	// CheckpointMiB is the size read from the weight store. Default MemoryMiB.
@@ -64,7 +64,7 @@
 	Replicas ReplicaLimits `json:"replicas"`
 	// Priority is the default priority of its requests. Default interactive.
 	Priority Priority `json:"priority,omitempty"`
-	// MaxConcurrent is the number of requests one replica runs at a time.
+	// MaxConcurrent is the number of requests that one replica runs at a time.
 	// Default 8.
 	MaxConcurrent int `json:"maxConcurrent,omitempty"`
 }
@@ -74,10 +74,10 @@
 type AdapterSpec struct {
 	// Base is the name of the base Model. Required.
 	Base string `json:"base"`
-	// Version names the adapter checkpoint; the store's key is
+	// Version names the adapter checkpoint; the weight store's key is
 	// "<adapter>@<version>". Required.
 	Version string `json:"version"`
-	// MemoryMiB is the accelerator memory one loaded copy takes. Required.
+	// MemoryMiB is the accelerator memory that one loaded copy uses. Required.
 	MemoryMiB int64 `json:"memoryMiB"`
 	// Replicas limits the loaded copies; at most the base's limit.
 	Replicas ReplicaLimits `json:"replicas"`
@@ -87,13 +87,13 @@
 
 // ServiceSpec declares a plain service that requests are routed to.
 type ServiceSpec struct {
-	// IdempotentMethods lists the HTTP methods whose calls may be repeated
-	// after a failure. Default GET, HEAD, OPTIONS, PUT, DELETE.
+	// IdempotentMethods lists the HTTP methods whose calls may be retried after
+	// a failure. Default GET, HEAD, OPTIONS, PUT, DELETE.
 	IdempotentMethods []string `json:"idempotentMethods,omitempty"`
-	// NonIdempotentPaths lists path prefixes whose calls are never repeated,
-	// whatever the method.
+	// NonIdempotentPaths lists path prefixes whose calls are never retried,
+	// regardless of the method.
 	NonIdempotentPaths []string `json:"nonIdempotentPaths,omitempty"`
-	// MaxConcurrent is the number of calls one backend server runs at a time.
+	// MaxConcurrent is the number of calls that one backend server runs at a time.
 	// Default 16.
 	MaxConcurrent int `json:"maxConcurrent,omitempty"`
 }
@@ -101,14 +101,15 @@
 // ClientAccountSpec declares a client account.
 type ClientAccountSpec struct {
 	// APIKeySHA256 lists the hexadecimal SHA-256 digests of the client account's
-	// API keys. Keys themselves are never stored.
+	// API keys. The keys are never stored.
 	APIKeySHA256 []string `json:"apiKeySHA256"`
-	// Weight is the share of capacity under overload. Default 1.
+	// Weight is the relative share of capacity under overload. Default 1.
 	Weight int `json:"weight,omitempty"`
 }
 
-// DeploymentSpec holds the prices that decide how long an idle model stays
-// loaded. One resource named "default" is read.
+// DeploymentSpec holds the prices that determine how long an idle model stays
+// loaded, and the capacity of the weight store. Only the resource named "default" is
+// accepted.
 type DeploymentSpec struct {
 	// ColdStartPrice is the cost of one second that a caller waits for a
 	// cold start, in the same unit as IdleHourPrice. Default 1.
@@ -116,10 +117,11 @@
 	// IdleHourPrice is the cost of one accelerator kept loaded and idle for
 	// an hour. Default 20.
 	IdleHourPrice float64 `json:"idleHourPrice,omitempty"`
-	// StoreLoadsPerSecond is the weight store's rate. Default 5.
+	// StoreLoadsPerSecond is the number of loads per second that the weight store
+	// serves. Default 5.
 	StoreLoadsPerSecond float64 `json:"storeLoadsPerSecond,omitempty"`
-	// StoreLanes is the number of loads the store serves at full speed at
-	// once. Default 4.
+	// StoreLanes is the number of concurrent loads that the weight store serves at
+	// full speed. Default 4.
 	StoreLanes int `json:"storeLanes,omitempty"`
 }
 
@@ -134,7 +136,7 @@
 	Metadata Metadata    `json:"metadata"`
 	Spec     AdapterSpec `json:"spec"`
 
-	// InheritsPriority is set when Spec.Priority is the base's, filled in.
+	// InheritsPriority reports whether Spec.Priority was set from the base.
 	InheritsPriority bool `json:"inheritsPriority,omitempty"`
 }
 
@@ -151,7 +153,7 @@
 }
 
 // Snapshot is one accepted configuration: all resources at one revision, with
-// defaults filled in. It is immutable once built.
+// defaults set. It is immutable.
 type Snapshot struct {
 	// Revision grows by one with each accepted change and never reverts.
 	Revision       int64                     `json:"revision"`
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Limits of declared values. They keep a typing error from taking a fleet's
-// memory or a KV value's megabyte.
+// Limits of declared values. They prevent a typing error from using all memory of a
+// fleet or exceeding the one-megabyte limit of a KV value.
 const (
 	MaxNameBytes       = 63
 	MaxLabels          = 16
@@ -36,7 +36,7 @@
 	wantedDigest = "a SHA-256 digest of 64 lower-case hexadecimal digits"
 )
 
-// checker gathers the problems of one resource.
+// checker collects the problems of one resource.
 type checker struct {
 	resource Resource
 	problems []Problem
@@ -45,7 +45,7 @@
 func (c *checker) report(path string, got any, wanted string) {
 	shown := fmt.Sprint(got)
 	if text, ok := got.(string); ok {
-		shown = fmt.Sprintf("%q", clip(text))
+		shown = fmt.Sprintf("%q", truncate(text))
 	}
 	c.problems = append(c.problems, c.resource.problem(path, shown, wanted))
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// checkResource checks a resource by itself, after its defaults are filled in.
+// checkResource validates one resource whose defaults are set.
 func checkResource(r Resource) []Problem {
 	c := &checker{resource: r}
 	if r.APIVersion != Version {
@@ -138,13 +138,13 @@
 }
 
 func (c *checker) service(spec *ServiceSpec) {
-	c.listed("spec.idempotentMethods", len(spec.IdempotentMethods))
+	c.listLength("spec.idempotentMethods", len(spec.IdempotentMethods))
 	for i, method := range spec.IdempotentMethods {
 		if !methodPattern.MatchString(method) {
 			c.report(fmt.Sprintf("spec.idempotentMethods[%d]", i), method, "an HTTP method in capitals")
 		}
 	}
-	c.listed("spec.nonIdempotentPaths", len(spec.NonIdempotentPaths))
+	c.listLength("spec.nonIdempotentPaths", len(spec.NonIdempotentPaths))
 	for i, path := range spec.NonIdempotentPaths {
 		if !strings.HasPrefix(path, "/") {
 			c.report(fmt.Sprintf("spec.nonIdempotentPaths[%d]", i), path, "a path that begins with '/'")
@@ -153,7 +153,7 @@
 	c.between("spec.maxConcurrent", int64(spec.MaxConcurrent), 1, MaxConcurrentLimit)
 }
 
-func (c *checker) listed(path string, count int) {
+func (c *checker) listLength(path string, count int) {
 	if count > MaxListed {
 		c.report(path, count, fmt.Sprintf("at most %d elements", MaxListed))
 	}
