--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -53,8 +53,8 @@
 	return waitForRollout(ctx, cmd, errOut, result.Revision)
 }
 
-// unknownIfSent tells a change that never left from one whose answer was lost
-// between the entry and here, which the entry may yet make.
+// unknownIfSent returns ExitUnknown for a change that was sent but whose response was
+// lost, because the entry may still apply it. Other errors are returned unchanged.
 func unknownIfSent(err error) error {
 	var answered *client.Error
 	var network *net.OpError
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -17,8 +17,8 @@
 	"nutmeglane.example/nutmeglane/internal/bench/quota"
 )
 
-// measured is the result of a measurement.
-type measured interface {
+// benchResult is the result of a measurement.
+type benchResult interface {
 	WriteText(io.Writer) error
 	WriteJSON(io.Writer) error
 }
@@ -34,8 +34,8 @@
 	}
 }
 
-// daemonPath names the binary that separate processes run. The default stands
-// beside this one.
+// daemonPath returns the path of the daemon binary for separate processes. The default
+// is nutmeglaned in the directory of this binary.
 func daemonPath(cmd *cli.Command) (string, error) {
 	if path := cmd.String("daemon"); path != "" {
 		return path, nil
@@ -44,8 +44,8 @@
 	return filepath.Join(filepath.Dir(self), "nutmeglaned"), errors.Wrap(err, "find nutmeglaned")
 }
 
-// measurement is a command that writes what run measured, as text or JSON.
-func measurement(out io.Writer, name, usage string, flags []cli.Flag, run func(context.Context, *cli.Command) (measured, error)) *cli.Command {
+// measurement returns a command that writes the result of run as text or JSON.
+func measurement(out io.Writer, name, usage string, flags []cli.Flag, run func(context.Context, *cli.Command) (benchResult, error)) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage,
 		Flags: append(flags, &cli.BoolFlag{Name: "json", Usage: "write the result as JSON"}),
@@ -62,13 +62,14 @@
 	}
 }
 
-// processMeasurement is a measurement that runs daemons as separate processes.
-func processMeasurement(out io.Writer, name, usage string, window time.Duration, flags []cli.Flag, run func(ctx context.Context, cmd *cli.Command, daemon string) (measured, error)) *cli.Command {
+// processMeasurement returns a measurement command that runs daemons as separate
+// processes.
+func processMeasurement(out io.Writer, name, usage string, window time.Duration, flags []cli.Flag, run func(ctx context.Context, cmd *cli.Command, daemon string) (benchResult, error)) *cli.Command {
 	flags = append([]cli.Flag{
 		&cli.StringFlag{Name: "daemon", Usage: "`PATH` of nutmeglaned (default: beside this binary)"},
 		&cli.DurationFlag{Name: "window", Usage: "length of each measurement", Value: window},
 	}, flags...)
-	return measurement(out, name, usage, flags, func(ctx context.Context, cmd *cli.Command) (measured, error) {
+	return measurement(out, name, usage, flags, func(ctx context.Context, cmd *cli.Command) (benchResult, error) {
 		daemon, err := daemonPath(cmd)
 		if err != nil {
 			return nil, err
@@ -84,7 +85,7 @@
 		&cli.IntFlag{Name: "days", Usage: "simulated days", Value: 3},
 		&cli.Uint64Flag{Name: "seed", Usage: "seed of the trace and all processes", Value: 1},
 	}
-	return measurement(out, "policy", usage, flags, func(ctx context.Context, cmd *cli.Command) (measured, error) {
+	return measurement(out, "policy", usage, flags, func(ctx context.Context, cmd *cli.Command) (benchResult, error) {
 		return policy.Run(ctx, policy.Options{
 			Deployments: cmd.StringSlice("deployment"), Days: cmd.Int("days"), Seed: cmd.Uint64("seed"),
 		})
@@ -97,7 +98,7 @@
 		&cli.StringSliceFlag{Name: "part", Usage: "hosts, connections, slopes or propagation (default: all)"},
 		&cli.StringSliceFlag{Name: "series", Usage: "series of the slopes, such as adapters (default: all)"},
 	}
-	return processMeasurement(out, "capacity", usage, 20*time.Second, flags, func(ctx context.Context, cmd *cli.Command, daemon string) (measured, error) {
+	return processMeasurement(out, "capacity", usage, 20*time.Second, flags, func(ctx context.Context, cmd *cli.Command, daemon string) (benchResult, error) {
 		cases, err := capacity.CasesOf(cmd.StringSlice("series"))
 		if err != nil {
 			return nil, err
@@ -116,7 +117,7 @@
 		&cli.IntFlag{Name: "streams", Usage: "streams open at once", Value: 1000},
 		&cli.StringFlag{Name: "profile", Usage: "write a processor profile to `FILE`; the daemons then run in this process"},
 	}
-	return processMeasurement(out, "overhead", usage, 15*time.Second, flags, func(ctx context.Context, cmd *cli.Command, daemon string) (measured, error) {
+	return processMeasurement(out, "overhead", usage, 15*time.Second, flags, func(ctx context.Context, cmd *cli.Command, daemon string) (benchResult, error) {
 		return overhead.Run(ctx, overhead.Options{
 			Daemon: daemon, Streams: cmd.Int("streams"), Window: cmd.Duration("window"),
 			Profile: cmd.String("profile"), Progress: errOut,
@@ -130,7 +131,7 @@
 		&cli.IntFlag{Name: "entries", Usage: "entries", Value: 2},
 		&cli.IntFlag{Name: "agents", Usage: "agents, each with a replica of the model", Value: 2},
 	}
-	return processMeasurement(out, "overload", usage, 12*time.Second, flags, func(ctx context.Context, cmd *cli.Command, daemon string) (measured, error) {
+	return processMeasurement(out, "overload", usage, 12*time.Second, flags, func(ctx context.Context, cmd *cli.Command, daemon string) (benchResult, error) {
 		return overload.Run(ctx, overload.Options{
 			Daemon: daemon, Entries: cmd.Int("entries"), Agents: cmd.Int("agents"),
 			Window: cmd.Duration("window"), Progress: errOut,
@@ -145,7 +146,7 @@
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of what chance decides"},
 	}
 	return measurement(out, "quota", "bounds of client accounts over all routers together, in virtual time", flags,
-		func(_ context.Context, cmd *cli.Command) (measured, error) {
+		func(_ context.Context, cmd *cli.Command) (benchResult, error) {
 			deployments := quota.Deployments
 			if n := cmd.Int("deployment"); n > 0 {
 				if n > len(deployments) {
--- a/internal/cli/connect.go
+++ b/internal/cli/connect.go
@@ -15,7 +15,7 @@
 	"nutmeglane.example/nutmeglane/internal/operator/client"
 )
 
-// connectFlags are those of every command that calls the API.
+// connectFlags returns the flags of every command that calls the API, followed by more.
 func connectFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{
@@ -29,7 +29,7 @@
 	}, more...)
 }
 
-// outputFlag chooses between tables and JSON.
+// outputFlag returns the flag that selects tables or JSON.
 func outputFlag() cli.Flag {
 	return &cli.StringFlag{Name: "output", Aliases: []string{"o"}, Usage: "`FORMAT`: table or json", Value: "table", Validator: func(format string) error {
 		if format != "table" && format != "json" {
@@ -41,7 +41,7 @@
 
 func wantsJSON(cmd *cli.Command) bool { return cmd.String("output") == "json" }
 
-// connect returns a client of the first entry that the flags name.
+// connect returns a client for the first entry that the flags name.
 func connect(cmd *cli.Command) (*client.Client, error) {
 	clients, err := connectAll(cmd)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return clients[0], nil
 }
 
-// connectAll returns a client of each entry that the flags name.
+// connectAll returns a client for each entry that the flags name.
 func connectAll(cmd *cli.Command) ([]*client.Client, error) {
 	return connectTo(cmd, strings.Split(cmd.String("api"), ","))
 }
@@ -76,13 +76,14 @@
 	return clients, nil
 }
 
-// dial adds what to do next to the error of an address that can't be reached.
+// dial adds a recommendation to the error of an address that can't be reached.
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, network, address)
 	return conn, errors.Wrapf(err, "can't reach %s; check --api or NUTMEGLANE_API, and that the process runs", address)
 }
 
-// tlsConfig returns nil if the flags name no certificate.
+// tlsConfig returns the TLS configuration, or nil if the flags name neither an authority
+// nor a certificate.
 func tlsConfig(cmd *cli.Command) (*tls.Config, error) {
 	authority, cert, key := cmd.String("ca"), cmd.String("cert"), cmd.String("key")
 	if authority == "" && cert == "" {
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -1,5 +1,5 @@
-// Package cli holds the command lines of the two binaries. Commands are thin:
-// each parses its flags and calls one package that does the work.
+// Package cli implements the command lines of the two binaries. Each command parses its
+// flags and calls one package that does the work.
 package cli
 
 import (
@@ -19,7 +19,7 @@
 	"nutmeglane.example/nutmeglane/internal/telemetry"
 )
 
-// Version of the release, printed by both binaries.
+// Version is the version of the release, printed by both binaries.
 const Version = "0.1.0-dev"
 
 const settingsFlag = "settings"
@@ -121,15 +121,15 @@
 	}
 }
 
-// RunDaemon runs the command line of nutmeglaned until it ends or the process gets SIGINT or
-// SIGTERM, and returns the exit status. SIGHUP never ends it.
+// RunDaemon runs the command line of nutmeglaned until it completes or the process receives
+// SIGINT or SIGTERM, and returns the exit status. SIGHUP never terminates it.
 func RunDaemon(out, errOut io.Writer) int {
 	return run(Daemon(out, errOut), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// RunTool runs the command line of nutmeglane until it ends or the process gets SIGINT,
-// SIGTERM or, unless it was started with that ignored, SIGHUP: a terminal that closes stops
-// what runs in it. It returns the exit status.
+// RunTool runs the command line of nutmeglane until it completes or the process receives
+// SIGINT, SIGTERM or SIGHUP, and returns the exit status. SIGHUP makes a closed terminal stop
+// the command; it has no effect if the process was started with SIGHUP ignored.
 func RunTool(out, errOut io.Writer) int {
 	stops := []os.Signal{syscall.SIGINT, syscall.SIGTERM}
 	if hangup.Restore() {
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// standinCommand runs one stand-in until the process is told to stop.
+// standinCommand returns a command that runs one stand-in until ctx is done.
 func standinCommand(out io.Writer, name, usage string, flags []cli.Flag, build func(*cli.Command) (http.Handler, func())) *cli.Command {
 	listen := &cli.StringFlag{Name: "listen", Usage: "`IP:port`", Value: "127.0.0.1:0"}
 	return &cli.Command{
@@ -112,8 +112,8 @@
 	})
 }
 
-// engineCommand runs one or more engines. Those of one process share a referee,
-// which so sees how many copies of a model are loaded at once.
+// engineCommand returns a command that runs one or more engines. The engines of one
+// process share a referee, which counts how many copies of a model are loaded at once.
 func engineCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name: "engine", Usage: "model engine",
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -67,7 +67,7 @@
 	current, err := c.Get(ctx, change.Key)
 	var failure *client.Error
 	if errors.As(err, &failure) && failure.Status == http.StatusNotFound {
-		return nil // deleted by another operator meanwhile
+		return nil // deleted by another operator since
 	}
 	if err != nil {
 		return err
@@ -90,8 +90,8 @@
 	return value
 }
 
-// fieldsOf returns what operators write of a resource: each field's path and
-// its value as JSON. Lists count as one value.
+// fieldsOf returns the fields of a resource that operators set, as values in JSON by
+// path. A list is one value.
 func fieldsOf(r api.Resource) map[string]string {
 	fields := map[string]string{}
 	written, err := json.Marshal(map[string]any{"spec": r.Spec, "metadata": map[string]any{"labels": r.Metadata.Labels}})
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -13,7 +13,7 @@
 	"nutmeglane.example/nutmeglane/internal/operator/client"
 )
 
-// drainPoll is the pause between two looks at a process that drains.
+// drainPoll is the polling interval of a draining process.
 const drainPoll = 200 * time.Millisecond
 
 func drainCommand(out, errOut io.Writer) *cli.Command {
@@ -42,8 +42,8 @@
 	}
 }
 
-// waitForEnd waits until nothing listens at the address any more. An error of
-// another kind does not show that the process has ended.
+// waitForEnd waits until connections to the address fail. Other errors do not prove that
+// the process has ended.
 func waitForEnd(ctx context.Context, c *client.Client, timeout time.Duration, errOut io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/cli/dump.go
+++ b/internal/cli/dump.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// dump asks each operators' address for its state; one that does not answer
-// appears with its error, so that the dump of the others is not lost.
+// dump requests the state from each operators' address. If one fails, its error is written
+// in place of its state, so that the states of the others are not lost.
 func dump(ctx context.Context, out io.Writer, cmd *cli.Command) error {
 	addresses := cmd.Args().Slice()
 	if len(addresses) == 0 {
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -16,16 +16,16 @@
 	// ExitDiffers: a replay, diff, load or rollout found a difference.
 	ExitDiffers = 2
 	// ExitRefused: declarations or the request are not valid; nothing was
-	// changed, and trying again is of no use.
+	// changed, and a retry would fail again.
 	ExitRefused = 3
-	// ExitConflict: somebody else's change came first; nothing was changed.
+	// ExitConflict: a concurrent change took effect first; nothing was changed.
 	ExitConflict = 4
-	// ExitUnavailable: the entry or the KV service did not answer; nothing was
-	// changed. Try again later.
+	// ExitUnavailable: the entry or the KV service did not respond; nothing was
+	// changed. Retry later.
 	ExitUnavailable = 5
 	// ExitUnknown: the change may or may not take effect.
 	ExitUnknown = 6
-	// ExitTimeout: a wait ended before what it waited for.
+	// ExitTimeout: a wait timed out.
 	ExitTimeout = 7
 )
 
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		return err
 	}
-	story := log.Explain(id)
-	return story.Write(out)
+	explanation := log.Explain(id)
+	return explanation.Write(out)
 }
 
 func readLogs(errOut io.Writer, files []string) (*explain.Log, error) {
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// kindArgument reads the kind from the first argument.
+// kindArgument parses the first argument as a kind.
 func kindArgument(cmd *cli.Command) (api.Kind, error) {
 	given := cmd.Args().Get(0)
 	kind, ok := api.KindOf(given)
@@ -41,7 +41,8 @@
 	return kind, nil
 }
 
-// completeKinds prints the kinds, and otherwise the flags, for the shell.
+// completeKinds prints shell completions: the kinds, if there is no argument yet, and the
+// flags.
 func completeKinds(ctx context.Context, cmd *cli.Command) {
 	if cmd.NArg() == 0 {
 		for _, kind := range api.Kinds() {
@@ -82,8 +83,8 @@
 	return t.close()
 }
 
-// conditionsOf names the conditions that hold, with the reasons of those that
-// don't.
+// conditionsOf lists the types of the conditions. One that is not true is marked with "!"
+// and its reason.
 func conditionsOf(item operator.Item) string {
 	if item.Status == nil {
 		return "-"
--- a/internal/cli/operators_test.go
+++ b/internal/cli/operators_test.go
@@ -34,7 +34,7 @@
 ]`
 )
 
-// system is an entry and an agent with TLS and a token everywhere.
+// system is an entry and an agent with TLS at all addresses and an operators' token.
 type system struct {
 	t         *testing.T
 	authority *certstest.Authority
@@ -68,7 +68,7 @@
 	entry := settings.DefaultEntry()
 	entry.Common = s.common(entry.Common, settings.RoleEntry, "entry-1", listURL)
 	entry.Callers.Listen, entry.Callers.TLS, entry.Callers.StopDelay = netip.MustParseAddrPort("127.0.0.1:0"), s.tls(), 0
-	entry.Callers.TLS.CA = "" // callers show API keys
+	entry.Callers.TLS.CA = "" // callers authenticate with API keys
 	entry.Peers.TLS, entry.KV.URL = s.tls(), kvURL
 
 	var err error
@@ -101,7 +101,7 @@
 func (s *system) common(c settings.Common, role settings.Role, host core.HostID, listURL string) settings.Common {
 	c.Role, c.Host, c.Zone, c.Hosts.URL = role, host, "olten", listURL+"/hosts"
 	c.Operators = settings.Operators{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Token: testToken, TLS: s.tls()}
-	c.Operators.TLS.CA = "" // operators show a token, not a certificate
+	c.Operators.TLS.CA = "" // operators authenticate with a token, not a certificate
 	return c
 }
 
@@ -127,7 +127,7 @@
 	return out
 }
 
-// get asks an operators' address and returns the HTTP status.
+// get sends a request to an operators' address and returns the HTTP status and the body.
 func (s *system) get(address, path string, set func(*http.Request)) (int, string) {
 	s.t.Helper()
 	request, err := http.NewRequest(http.MethodGet, "https://"+address+path, nil)
@@ -135,7 +135,7 @@
 		s.t.Fatal(err)
 	}
 	set(request)
-	// Whose certificate it is, the commands check; this is about tokens.
+	// The commands verify the certificate; this request tests only tokens.
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}, DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
@@ -157,9 +157,9 @@
 	return dir
 }
 
-// An operator's day, with TLS and a token at every address: declare, see it in
-// force, change it by conflict and by diff, look inside, and drain a host.
-func TestOperatorsDay(t *testing.T) {
+// Runs the operator commands against a system with TLS and a token at every address: apply,
+// rollout, get, diff, a conflicting change, prune, dump and drain.
+func TestOperatorWorkflow(t *testing.T) {
 	s := startSystem(t)
 	entry, agent := s.entry.Addresses.Operators.String(), s.agent.Addresses.Operators.String()
 	t.Setenv("NUTMEGLANE_API", entry)
@@ -170,7 +170,7 @@
 	s.expect(0, "2 resources are valid", "validate", "-f", dir)
 	s.expect(0, "dry run", "apply", "-f", dir, "--dry-run")
 	s.expect(0, "revision 1", "apply", "-f", dir, "--wait")
-	// The host list may be read only now: wait until the agent is known too.
+	// The entry may not have read the host list yet: wait until it knows the agent.
 	for known := 0; known < 2; {
 		var rollout status.Rollout
 		if err := json.Unmarshal([]byte(s.expect(0, "", "rollout", "status", "--wait", "-o", "json")), &rollout); err != nil {
@@ -193,7 +193,7 @@
 	s.expect(ExitConflict, "metadata.resourceVersion: got 9, wanted the current 1", "apply", "-f", stale)
 	s.expect(0, "deleted", "apply", "-f", declare(t, strings.SplitAfter(declared, "}},")[0]+"]"), "--prune", "--wait")
 
-	s.checkDoors(entry, agent)
+	s.checkAccessControl(entry, agent)
 	s.checkMetrics(entry, "nutmeglane_config_revision 2", "nutmeglane_kv_reachable 1", "nutmeglane_config_peers_behind 0")
 	s.checkMetrics(agent, "nutmeglane_config_revision 2", "nutmeglane_agent_requests_queued 0", "nutmeglane_agent_tenure_remaining_seconds")
 	dump := s.expect(0, `"role": "agent"`, "dump", entry, agent)
@@ -211,13 +211,13 @@
 	s.expect(ExitFailure, "certificate signed by unknown authority", "get", "services")
 }
 
-// checkDoors tries paths with and without the token. A dump shows all of a
-// process's state, so that it must not be open where the API is not.
-func (s *system) checkDoors(entry, agent string) {
+// checkAccessControl requests paths with and without the token. A dump contains all state of
+// a process, so it must be protected like the API.
+func (s *system) checkAccessControl(entry, agent string) {
 	s.t.Helper()
 	basic := func(r *http.Request) { r.SetBasicAuth("anyone", testToken) }
 	open := func(*http.Request) {}
-	for _, door := range []struct {
+	for _, endpoint := range []struct {
 		address, path string
 		guarded       bool
 	}{
@@ -225,15 +225,15 @@
 		{agent, "/metrics", false}, {agent, "/healthz", false}, {agent, "/readyz", false},
 		{entry, "/", true}, {entry, "/debug/state", true}, {entry, "/apis/nutmeglane/v1/services", true}, {agent, "/debug/state", true},
 	} {
-		if got, _ := s.get(door.address, door.path, basic); got != http.StatusOK {
-			s.t.Errorf("%s with the token: %d", door.path, got)
+		if got, _ := s.get(endpoint.address, endpoint.path, basic); got != http.StatusOK {
+			s.t.Errorf("%s with the token: %d", endpoint.path, got)
 		}
 		want := http.StatusOK
-		if door.guarded {
+		if endpoint.guarded {
 			want = http.StatusUnauthorized
 		}
-		if got, _ := s.get(door.address, door.path, open); got != want {
-			s.t.Errorf("%s without the token: %d, want %d", door.path, got, want)
+		if got, _ := s.get(endpoint.address, endpoint.path, open); got != want {
+			s.t.Errorf("%s without the token: %d, want %d", endpoint.path, got, want)
 		}
 	}
 	if got, body := s.get(agent, "/admin/drain", open); got != http.StatusUnauthorized {
@@ -242,7 +242,7 @@
 	if got, _ := s.get(s.entry.Addresses.Callers.String(), "/v1/models", open); got != http.StatusUnauthorized {
 		s.t.Errorf("callers' address over TLS: %d", got)
 	}
-	// Another site has the operator's browser post an order to drain.
+	// A cross-site request: another site makes the operator's browser post a drain request.
 	forged := func(r *http.Request) {
 		basic(r)
 		r.Method = http.MethodPost
@@ -252,7 +252,7 @@
 		s.t.Errorf("forged drain: %d", got)
 	}
 	if _, body := s.get(entry, "/", basic); !strings.Contains(body, "akte-1") {
-		s.t.Errorf("the page lacks the host:\n%s", body)
+		s.t.Errorf("the page does not contain the host:\n%s", body)
 	}
 }
 
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -17,7 +17,7 @@
 	return encoder.Encode(value)
 }
 
-// table writes aligned columns. Close it in the end.
+// table writes aligned columns. close must be called at the end.
 type table struct{ w *tabwriter.Writer }
 
 func newTable(out io.Writer, columns ...any) table {
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -15,11 +15,11 @@
 	"nutmeglane.example/nutmeglane/internal/operator/status"
 )
 
-// rolloutPoll is the pause between two looks at a rollout.
+// rolloutPoll is the polling interval of a rollout.
 const rolloutPoll = 200 * time.Millisecond
 
-// maxNamed bounds the daemons that a progress line names.
-const maxNamed = 5
+// maxListedHosts limits the daemons that a progress line names.
+const maxListedHosts = 5
 
 func rolloutCommand(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
@@ -73,8 +73,8 @@
 	return err
 }
 
-// rolloutOf asks all entries and joins what they know: each knows itself and
-// the agents. A revision of 0 means the newest in force at any of them.
+// rolloutOf requests the rollout from all entries and merges the results: each entry reports
+// itself and the agents. A revision of 0 means the newest in force at any entry.
 func rolloutOf(ctx context.Context, clients []*client.Client, revision int64) (status.Rollout, error) {
 	joined := status.Rollout{Revision: revision}
 	index := map[core.HostID]int{}
@@ -105,8 +105,8 @@
 	return joined, nil
 }
 
-// waitForRollout reports progress until every known daemon has a revision in
-// force. Daemons that come meanwhile are waited for too.
+// waitForRollout reports progress until every known daemon has a revision in force,
+// including daemons that appear while it waits.
 func waitForRollout(ctx context.Context, cmd *cli.Command, errOut io.Writer, revision int64) error {
 	clients, err := connectAll(cmd)
 	if err != nil {
@@ -116,16 +116,16 @@
 	defer cancel()
 	poll := time.NewTicker(rolloutPoll)
 	defer poll.Stop()
-	shown := ""
+	lastLine := ""
 	for {
 		rollout, err := rolloutOf(ctx, clients, revision)
 		line := progress(rollout)
 		if err != nil {
 			line = "can't ask for the rollout: " + err.Error()
 		}
-		if line != shown {
+		if line != lastLine {
 			fmt.Fprintln(errOut, line)
-			shown = line
+			lastLine = line
 		}
 		if err == nil && rollout.InForce == rollout.Known {
 			return nil
@@ -145,7 +145,7 @@
 		if d.Revision >= rollout.Revision {
 			continue
 		}
-		if len(behind) == maxNamed {
+		if len(behind) == maxListedHosts {
 			behind = append(behind, "...")
 			break
 		}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -6,8 +6,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Tool returns the command line of nutmeglane, the operators' and developers'
-// command.
+// Tool returns the command line of nutmeglane, the command for operators and developers.
 func Tool(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:                  "nutmeglane",
--- a/internal/cli/validate.go
+++ b/internal/cli/validate.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// loadDir reads and checks a directory of declarations.
+// loadDir parses and validates a directory of declarations.
 func loadDir(dir string) ([]api.Resource, error) {
 	resources, err := api.ParseDir(dir)
 	if err != nil {
--- a/internal/cli/watch.go
+++ b/internal/cli/watch.go
@@ -15,7 +15,7 @@
 	"nutmeglane.example/nutmeglane/internal/operator/client"
 )
 
-// watchRetry is the pause before a broken watch is resumed.
+// watchRetry is the delay before an interrupted watch is resumed.
 const watchRetry = time.Second
 
 func watchCommand(out, errOut io.Writer) *cli.Command {
@@ -52,8 +52,8 @@
 	}
 }
 
-// watch follows a kind and resumes when the stream breaks off. Events after
-// the last bookmark may be printed again then.
+// watch prints the changes of a kind and resumes when the stream is interrupted. Events
+// after the last bookmark may then be printed again.
 func watch(ctx context.Context, c *client.Client, kind api.Kind, revision int64, each func(operator.Event) error, errOut io.Writer) error {
 	for {
 		var err error
