--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs serves certificates from files and takes up their replacement
-// without a restart.
+// Package certs loads TLS certificates from files and reloads them without a restart when
+// the files are replaced.
 package certs
 
 import (
@@ -13,41 +13,41 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files names PEM files. Cert and Key belong together. CA, if set, holds the
-// certificates that the other side's certificate must be signed by.
+// Files names PEM files. Cert and Key are a certificate and its private key. CA, if set, is
+// the file of the certificate authorities that must have signed the peer's certificate.
 type Files struct {
 	Cert, Key, CA string
 }
 
-// Source holds the newest valid content of its files. Each handshake looks
-// whether a file changed; connections that stand are left alone.
+// Source holds the last valid content of its files. Each handshake checks whether a file
+// changed. Established connections are not affected.
 type Source struct {
 	files Files
 	log   *slog.Logger
 
-	mu     sync.Mutex
-	stamps [3]stamp
-	loaded material
+	mu       sync.Mutex
+	versions [3]fileVersion
+	loaded   keyMaterial
 }
 
-// material is the parsed content of the files.
-type material struct {
+// keyMaterial is the parsed content of the files.
+type keyMaterial struct {
 	cert tls.Certificate
 	pool *x509.CertPool // nil without a CA file
 }
 
-// stamp tells whether a file changed.
-type stamp struct {
+// fileVersion identifies a version of a file, to detect changes.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// Load reads the files. It returns nil if files names no certificate.
+// Load reads the files. It returns nil if files.Cert is empty.
 func Load(files Files, log *slog.Logger) (*Source, error) {
 	if files.Cert == "" {
 		return nil, nil
 	}
-	s := &Source{files: files, log: log, stamps: files.stamps()}
+	s := &Source{files: files, log: log, versions: files.versions()}
 	var err error
 	s.loaded, err = files.read()
 	return s, err
@@ -55,48 +55,48 @@
 
 func (f Files) names() [3]string { return [3]string{f.Cert, f.Key, f.CA} }
 
-func (f Files) stamps() (stamps [3]stamp) {
+func (f Files) versions() (versions [3]fileVersion) {
 	for i, name := range f.names() {
 		if info, err := os.Stat(name); name != "" && err == nil {
-			stamps[i] = stamp{info.ModTime(), info.Size()}
+			versions[i] = fileVersion{info.ModTime(), info.Size()}
 		}
 	}
-	return stamps
+	return versions
 }
 
-func (f Files) read() (material, error) {
+func (f Files) read() (keyMaterial, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
-		return material{}, errors.Wrapf(err, "load certificate %s", f.Cert)
+		return keyMaterial{}, errors.Wrapf(err, "load certificate %s", f.Cert)
 	}
 	if f.CA == "" {
-		return material{cert: cert}, nil
+		return keyMaterial{cert: cert}, nil
 	}
 	pem, err := os.ReadFile(f.CA)
 	if err != nil {
-		return material{}, errors.Wrap(err, "load certificate authority")
+		return keyMaterial{}, errors.Wrap(err, "load certificate authority")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return material{}, errors.Newf("%s holds no certificate", f.CA)
+		return keyMaterial{}, errors.Newf("%s holds no certificate", f.CA)
 	}
-	return material{cert: cert, pool: pool}, nil
+	return keyMaterial{cert: cert, pool: pool}, nil
 }
 
-// current reads the files again if one of them changed.
+// current returns the key material, after reloading the files if one of them changed.
 //
-// Failure guarded against: the files are replaced one after the other, and a
-// handshake in between sees a certificate with the key of another. The pair
-// fails to load, what was loaded before stays in use, and as the stamps change
-// again with the next file, so does the next handshake try again.
-func (s *Source) current() material {
+// The files are replaced one after the other, so a handshake in between can find a
+// certificate that does not match the key. The pair then fails to load and the previous key
+// material stays in use. The next replaced file changes the versions again, so the next
+// handshake retries.
+func (s *Source) current() keyMaterial {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stamps := s.files.stamps()
-	if stamps == s.stamps {
+	versions := s.files.versions()
+	if versions == s.versions {
 		return s.loaded
 	}
-	s.stamps = stamps
+	s.versions = versions
 	loaded, err := s.files.read()
 	if err != nil {
 		s.log.Error("certificate not replaced", "file", s.files.Cert, "error", err.Error())
@@ -107,11 +107,11 @@
 	return loaded
 }
 
-// Server returns the configuration of a listener. With a CA file, it asks the
-// other side for a certificate and refuses a handshake without a valid one.
+// Server returns the configuration of a listener. With a CA file, it requires a valid
+// client certificate.
 //
-// Sessions are not resumed: a resumed session would skip the check against a
-// certificate authority that was replaced meanwhile.
+// Session resumption is disabled: a resumed session would skip the verification against a
+// certificate authority that was replaced in the meantime.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true,
@@ -130,8 +130,8 @@
 	}
 }
 
-// Client returns the configuration of one dial, which shows the certificate
-// and wants the other side's to be signed by the CA file.
+// Client returns the configuration of one dial. It presents the certificate and requires
+// the peer's certificate to be signed by an authority of the CA file.
 func (s *Source) Client() *tls.Config {
 	m := s.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{m.cert}, RootCAs: m.pool}
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -25,8 +25,8 @@
 	return source
 }
 
-// agent accepts connections of entries with the certificates of a directory.
-// The channel has what its reducer would see.
+// agent starts a listener that accepts connections of entries with the given certificates.
+// The channel receives the events for its reducer.
 func agent(t *testing.T, files certs.Files) (address string, events chan core.Event) {
 	t.Helper()
 	events = make(chan core.Event, 100)
@@ -47,7 +47,7 @@
 	_ = node.Close(ctx)
 }
 
-// dial connects as an entry and returns the event that follows.
+// dial connects as an entry and returns the resulting event.
 func dial(t *testing.T, address string, config func() *tls.Config) core.Event {
 	t.Helper()
 	events := make(chan core.Event, 100)
@@ -57,14 +57,13 @@
 	return <-events
 }
 
-// Somebody who can reach an agent's address but has no certificate of the
-// deployment connects as an entry. If the agent took the connection, it would
-// take orders to run requests and to release slots.
-func TestForeignPeerGivesNoOrders(t *testing.T) {
+// A client without a certificate of the deployment connects to an agent as an entry. If the
+// agent accepted the connection, it would accept orders to run requests and release slots.
+func TestUntrustedPeerIsRefused(t *testing.T) {
 	ours, foreign := certstest.New(t), certstest.New(t)
 	address, seen := agent(t, ours.Write(t, t.TempDir()))
 	trusted := load(t, ours.Write(t, t.TempDir()))
-	stranger := load(t, foreign.Write(t, t.TempDir()))
+	untrusted := load(t, foreign.Write(t, t.TempDir()))
 	for name, config := range map[string]func() *tls.Config{
 		"no TLS": nil,
 		"no certificate": func() *tls.Config {
@@ -73,31 +72,31 @@
 			return c
 		},
 		"foreign certificate": func() *tls.Config {
-			c := stranger.Client()
-			c.RootCAs = trusted.Client().RootCAs // or it would hang up by itself
+			c := untrusted.Client()
+			c.RootCAs = trusted.Client().RootCAs // otherwise the client would refuse the agent
 			return c
 		},
-		"agent is foreign to it": stranger.Client,
+		"agent is foreign to it": untrusted.Client,
 	} {
 		if event, down := dial(t, address, config).(core.PeerDown); !down {
 			t.Errorf("%s: got %T", name, event)
 		}
 	}
 	if len(seen) != 0 {
-		t.Errorf("the agent saw %T", <-seen)
+		t.Errorf("the agent received %T", <-seen)
 	}
 	if event := dial(t, address, trusted.Client); event != (core.PeerUp{Peer: "agent", Incarnation: 1}) {
 		t.Errorf("own certificate: got %#v", event)
 	}
 	if event := <-seen; event != (core.PeerUp{Peer: "entry", Incarnation: 2}) {
-		t.Errorf("the agent saw %#v", event)
+		t.Errorf("the agent received %#v", event)
 	}
 }
 
-// Certificates of a deployment are replaced, authority and all, while its
-// processes run. Without a reload, every new connection fails from the day that
-// the old ones run out; with one between two files, a half-replaced pair must
-// not end service.
+// The certificates and the authority of a deployment are replaced while its processes run.
+// Without a reload, every new connection fails once the old certificates expire. A reload
+// between the replacement of two files finds a mismatched pair, which must not interrupt
+// service.
 func TestReload(t *testing.T) {
 	before, after := certstest.New(t), certstest.New(t)
 	serverDir, clientDir := t.TempDir(), t.TempDir()
@@ -138,6 +137,6 @@
 		}
 	}
 	if source, err := certs.Load(certs.Files{}, nil); source != nil || err != nil {
-		t.Error("without files there is a source")
+		t.Error("Load without files returned a source")
 	}
 }
--- a/internal/certs/certstest/certstest.go
+++ b/internal/certs/certstest/certstest.go
@@ -1,4 +1,4 @@
-// Package certstest makes certificate authorities and certificates for tests.
+// Package certstest creates certificate authorities and certificates for tests.
 package certstest
 
 import (
@@ -18,13 +18,13 @@
 	"nutmeglane.example/nutmeglane/internal/certs"
 )
 
-// Authority signs certificates.
+// Authority is a certificate authority that signs certificates.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// New makes an authority.
+// New creates an authority whose certificate is valid for an hour.
 func New(t testing.TB) *Authority {
 	t.Helper()
 	key := newKey(t)
@@ -40,8 +40,8 @@
 	return &Authority{cert: cert, key: key}
 }
 
-// Write writes a certificate for 127.0.0.1 that the authority signs, its key
-// and the authority itself to a directory, in place of what is there.
+// Write writes a certificate for 127.0.0.1 signed by the authority, its key and the
+// authority's certificate to a directory. Existing files are replaced.
 func (a *Authority) Write(t testing.TB, dir string) certs.Files {
 	t.Helper()
 	key := newKey(t)
