--- a/cmd/nutmeglane/main.go
+++ b/cmd/nutmeglane/main.go
@@ -1,4 +1,4 @@
-// Command nutmeglane is the operators' and developers' command.
+// Command nutmeglane is the command for operators and developers.
 package main
 
 import (
--- a/cmd/nutmeglaned/main.go
+++ b/cmd/nutmeglaned/main.go
@@ -1,5 +1,5 @@
-// Command nutmeglaned is the daemon: an entry, or the agent beside a backend
-// server.
+// Command nutmeglaned is the daemon. It runs as an entry, as the agent of a backend server,
+// as a router, or as the loader of an engine.
 package main
 
 import (
