--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		return err
 	}
-	story := log.Of(id)
-	return story.Write(out)
+	explanation := log.Explain(id)
+	return explanation.Write(out)
 }
 
 func readLogs(errOut io.Writer, files []string) (*explain.Log, error) {
@@ -57,8 +57,8 @@
 			return nil, err
 		}
 	}
-	if log.Bad > 0 {
-		fmt.Fprintf(errOut, "%d lines could not be read and were left out\n", log.Bad)
+	if log.Malformed > 0 {
+		fmt.Fprintf(errOut, "%d lines could not be read and were left out\n", log.Malformed)
 	}
 	return log, nil
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -86,7 +86,7 @@
 	notes := newNoteWriter(store, p.log)
 	p.gateway = gateway.New(router.New(router.Options{
 		Host: core.HostID(p.settings.Address), Zone: p.settings.Zone, LoaderPort: p.settings.LoaderPort, Processor: p.settings.Processor,
-		Bounds: p.settings.Fleet(), Seed: randomUint64(),
+		Bounds: p.settings.FleetBounds(), Seed: randomUint64(),
 	}), gateway.Options{Links: p.links, Publish: notes.put, RequestStoreRead: p.readStoreNow, Metrics: p.metrics, Log: p.log, Requests: p.requests})
 	p.reader = newStoreReader(store, p.gateway, maxReadInterval(p.settings.Bounds), p.log)
 	p.reader.spreadConfig = p.spreadConfig
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	p.gateway.Inspect(func(r *router.Router) { r.SetBounds(s.Fleet()) })
+	p.gateway.Inspect(func(r *router.Router) { r.SetBounds(s.FleetBounds()) })
 	p.reader.setMaxInterval(maxReadInterval(s.Bounds))
 	return nil
 }
