--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -18,10 +18,11 @@
 	completionTag = "chatcmpl-"
 )
 
-// errNoEnd is a stream that ended without the mark of a whole answer.
+// errNoEnd reports a stream that ended before the answer was complete.
 var errNoEnd = errors.New("the stream ended without [DONE] or an error event")
 
-// completionChunk is a chunk of a streamed completion, or a whole one.
+// completionChunk is a chunk of a streamed completion, or a complete
+// completion that is not streamed.
 type completionChunk struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
@@ -35,7 +36,7 @@
 	Content string `json:"content"`
 }
 
-// errorAnswer is the body of a refusal or of an error event.
+// errorAnswer is the body of a refusal or the data of an error event.
 type errorAnswer struct {
 	Error struct {
 		Code      code.Code `json:"code"`
@@ -43,7 +44,8 @@
 	} `json:"error"`
 }
 
-// checkBodyID compares the request id of a refusal's body with the header's.
+// checkBodyID adds a fault if the request id in the body of a refusal or in an
+// error event differs from the one in the response header.
 func (r *result) checkBodyID(body []byte) {
 	var answer errorAnswer
 	if json.Unmarshal(body, &answer) != nil {
@@ -54,7 +56,8 @@
 	}
 }
 
-// checkMeta finds a chunk that names another request or model.
+// checkMeta adds a fault if a chunk carries the id of another request or the
+// name of another model.
 func (r *result) checkMeta(chunk *completionChunk) {
 	id := strings.TrimPrefix(chunk.ID, completionTag)
 	switch {
@@ -65,8 +68,9 @@
 	}
 }
 
-// readStream returns an error if the stream broke off. What came of an answer
-// that did not end well must still be a beginning of this request's.
+// readStream reads and checks a streamed completion. It returns an error if the
+// stream broke off. The text received before a failure must still be a prefix
+// of this request's expected text.
 func (s *sender) readStream(r *result, body io.Reader) error {
 	events := newEventReader(body)
 	text, last, err := s.collect(r, events)
@@ -84,7 +88,8 @@
 	return err
 }
 
-// collect joins the tokens up to the last event: [DONE] or an error event.
+// collect concatenates the tokens up to the final event, which is [DONE] or an
+// error event, and returns that event.
 func (s *sender) collect(r *result, events *eventReader) (string, event, error) {
 	var text strings.Builder
 	last := r.at
@@ -109,7 +114,8 @@
 	}
 }
 
-// countToken returns now, which is the next token's last.
+// countToken records a token received at now. It returns now, to be passed as
+// last for the next token.
 func (r *result) countToken(now, last time.Duration) time.Duration {
 	if r.tokens == 0 {
 		r.firstToken = now
@@ -130,8 +136,9 @@
 	r.checkBodyID(e.Data)
 }
 
-// readAfterEnd finds events after the end of a whole answer. That the
-// connection breaks then is no matter: the caller has all.
+// readAfterEnd adds a fault if an event follows the end of a complete answer. A
+// connection error at this point is ignored, because the caller has received
+// the whole answer.
 func readAfterEnd(r *result, events *eventReader) {
 	if e, err := events.next(); err == nil {
 		r.fault(FaultDoubled, "after [DONE] came %q", excerpt(string(e.Data)))
@@ -148,7 +155,7 @@
 		return errors.Wrap(err, "malformed completion")
 	}
 	if len(whole.Choices) == 0 {
-		return errors.New("a completion without choices")
+		return errors.New("completion without choices")
 	}
 	r.checkMeta(&whole)
 	r.tokens = r.arrival.tokens
@@ -160,10 +167,11 @@
 	if fault, detail := compareText(r.expectedText(s.plan), got); fault != "" {
 		r.fault(fault, "%s", detail)
 	}
-	r.ok()
+	r.markOK()
 }
 
-// readEcho checks that a plain service has seen this very call.
+// readEcho checks that the plain service received exactly the call that was
+// sent.
 func (s *sender) readEcho(r *result, body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -171,10 +179,10 @@
 	}
 	var echo service.Echo
 	if err := json.Unmarshal(data, &echo); err != nil {
-		r.fault(FaultCut, "not a whole echo: %v", err)
+		r.fault(FaultCut, "malformed echo: %v", err)
 		return nil
 	}
-	path, query := r.expectedEcho(s.run)
+	path, query := r.expectedEcho(s.runID)
 	for _, field := range []struct{ name, want, got string }{
 		{"method", r.call.Method, echo.Method},
 		{"path", path, echo.Path},
@@ -185,6 +193,6 @@
 			r.fault(FaultCrossed, "%s: wanted %q, got %q", field.name, excerpt(field.want), excerpt(field.got))
 		}
 	}
-	r.ok()
+	r.markOK()
 	return nil
 }
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -11,11 +11,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// arrival is one request as drawn.
+// arrival is one planned request with its randomly drawn properties.
 type arrival struct {
-	// number counts from 0 over the run.
+	// number is the index of the request within the run, from 0.
 	number int
-	// at is the intended time since the start.
+	// at is the intended send time, relative to the start of the run.
 	at     time.Duration
 	phase  int
 	class  *Class
@@ -29,9 +29,9 @@
 	slow   bool
 }
 
-// drawArrivals returns the arrivals of a plan in order of time, and whether more were
-// left out for MaxRequests. Each class has a random source of its own, so that
-// a class that is added leaves the others as they were.
+// drawArrivals returns the arrivals of a plan in order of time, and whether
+// MaxRequests cut the list short. Each class has its own random source, so that
+// adding a class does not change the arrivals of the others.
 func drawArrivals(plan *Plan) (list []arrival, more bool) {
 	for i := range plan.Classes {
 		d := newDrawer(plan, &plan.Classes[i])
@@ -47,12 +47,14 @@
 	return list, more
 }
 
+// drawer draws the arrivals of one class.
 type drawer struct {
 	class  *Class
 	phases []Phase
-	// ends are the phases' ends since the start.
+	// ends are the end times of the phases, relative to the start of the run.
 	ends []time.Duration
-	// limit is one over MaxRequests, to notice that there are more.
+	// limit is MaxRequests + 1, so that arrivals beyond MaxRequests are
+	// detected.
 	limit  int
 	random *rand.Rand
 	calls  chooser
@@ -76,8 +78,9 @@
 	return d
 }
 
-// poisson returns the times of the Poisson process, phase by phase. A phase may
-// begin with a fresh gap because the process has no memory.
+// poisson returns the arrival times of the Poisson process, phase by phase. Each
+// phase starts with a newly drawn gap, which is valid because the process is
+// memoryless.
 func (d *drawer) poisson() []time.Duration {
 	if d.class.Poisson == nil {
 		return nil
@@ -125,14 +128,14 @@
 func (d *drawer) draw(times []time.Duration) []arrival {
 	list := make([]arrival, 0, len(times))
 	for _, at := range times {
-		list = append(list, d.one(at))
+		list = append(list, d.drawArrival(at))
 	}
 	return list
 }
 
-// one draws the same number of values whatever the class asks for, so that a
-// share that is changed leaves the other properties as they were.
-func (d *drawer) one(at time.Duration) arrival {
+// drawArrival draws the same number of random values whatever the class
+// configures, so that changing one share does not change the other properties.
+func (d *drawer) drawArrival(at time.Duration) arrival {
 	class := d.class
 	call := d.calls.choose(d.random)
 	a := arrival{at: at, phase: d.phaseAt(at), class: class, call: &class.Calls[call]}
@@ -150,7 +153,8 @@
 
 func (r *Range) draw(random *rand.Rand) int { return r.Min + random.IntN(r.Max-r.Min+1) }
 
-// chooser draws an index by weight. It holds the running sums.
+// chooser draws an index with a probability proportional to its weight. It
+// holds the cumulative weights.
 type chooser []float64
 
 func newChooser(weights []float64) chooser {
--- a/internal/load/arrivals_test.go
+++ b/internal/load/arrivals_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// drawn lists the arrivals of one class of a plan.
+// drawn parses a plan and lists the arrivals of one class.
 func drawn(t *testing.T, text, class string) []string {
 	t.Helper()
 	plan, err := ParsePlan("plan.json", []byte(text))
@@ -30,7 +30,7 @@
 		t.Errorf("same seed: %s", diff)
 	}
 	if cmp.Equal(first, drawn(t, planText(`"duration"`, `"seed": 2, "duration"`), "c")) {
-		t.Error("another seed drew the same")
+		t.Error("a different seed gave the same arrivals")
 	}
 	other := `"classes": [{"name": "d", "apiKey": "k", "poisson": {"perSecond": 9}, "calls": [{"models": ["m"]}]}, `
 	if diff := cmp.Diff(first, drawn(t, planText(`"classes": [`, other), "c")); diff != "" {
@@ -56,7 +56,7 @@
 			atStart[a.phase]++
 		}
 	}
-	// Five standard deviations of the counts of these Poisson processes.
+	// The bounds are five standard deviations of the Poisson counts.
 	if n := byPhase[0]; n < 4645 || n > 5355 {
 		t.Errorf("0.5x: %d arrivals, wanted about 5000", n)
 	}
--- a/internal/load/chart.go
+++ b/internal/load/chart.go
@@ -13,13 +13,14 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Size of a chart.
+// Dimensions of the whole image.
 const (
 	chartWidth  = 10 * vg.Inch
 	chartHeight = 7 * vg.Inch
 )
 
-// legendRoom is the height of a plot over that of its highest point.
+// legendRoom is the ratio of the Y axis range to the highest value, which leaves
+// space for the legend at the top.
 const legendRoom = 1.25
 
 // chartLine is one quantity over time.
@@ -27,11 +28,11 @@
 	name  string
 	color color.RGBA
 	value func(*Point) float64
-	// needsAnswers leaves out points without a right answer.
+	// needsAnswers leaves out points without a correct answer.
 	needsAnswers bool
 }
 
-// Colours of the lines, told apart by readers with colour blindness.
+// Line colours that readers with colour blindness can distinguish.
 var (
 	blue   = color.RGBA{R: 0, G: 114, B: 178, A: 255}
 	orange = color.RGBA{R: 230, G: 159, B: 0, A: 255}
@@ -39,8 +40,8 @@
 	grey   = color.RGBA{R: 120, G: 120, B: 120, A: 255}
 )
 
-// WriteChart draws latency and outcomes over the arrivals' intended time to a
-// file whose name ends in .svg or .png.
+// WriteChart plots latency and outcomes over the intended send time and writes
+// them to a file whose name ends in .svg or .png.
 func (s *Summary) WriteChart(file string) error {
 	format := strings.TrimPrefix(strings.ToLower(filepath.Ext(file)), ".")
 	if format != "svg" && format != "png" {
@@ -88,7 +89,8 @@
 	return p, nil
 }
 
-// points is never empty: a line without points is an error of the library.
+// points returns the data points of a line. The result is never empty, because
+// the plot library returns an error for a line without points.
 func (s *Summary) points(line chartLine) plotter.XYs {
 	var list plotter.XYs
 	for i := range s.Timeline {
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -12,7 +12,7 @@
 	"nutmeglane.example/nutmeglane/internal/api"
 )
 
-// Bounds of the checks.
+// Limits on the values of a plan.
 const (
 	maxDuration   = 24 * time.Hour
 	maxMultiplier = 1000
@@ -26,7 +26,8 @@
 	maxZipf       = 10
 )
 
-// methods that are answered by an echo; an answer to HEAD has no body to check.
+// methods lists the HTTP methods of service calls. HEAD is missing because its
+// response has no body to check.
 var methods = []string{"GET", "OPTIONS", "POST", "PUT", "PATCH", "DELETE"}
 
 func (c *checker) require(ok bool, field string, got any, wanted string) {
@@ -39,21 +40,21 @@
 	c.report(field, fmt.Sprint(got), wanted)
 }
 
-func (c *checker) within(got, low, high Duration, field string) {
+func (c *checker) requireRange(got, low, high Duration, field string) {
 	c.require(got >= low && got <= high, field, time.Duration(got),
 		fmt.Sprintf("%v to %v", time.Duration(low), time.Duration(high)))
 }
 
-func (c *checker) share(got float64, field string) {
+func (c *checker) requireShare(got float64, field string) {
 	c.require(got >= 0 && got <= 1, field, got, "0 to 1")
 }
 
 func (p *Plan) check(c *checker) {
 	c.require(len(p.Targets) > 0, "targets", "nothing", "one or more entries' base URLs")
-	c.loopback(p.Targets, "targets")
-	c.loopback(p.Referees, "referees")
-	c.within(p.Grace, 0, Duration(time.Minute), "grace")
-	c.within(p.RefusalLimit, 0, Duration(maxTimeout), "refusalLimit")
+	c.requireLoopback(p.Targets, "targets")
+	c.requireLoopback(p.Referees, "referees")
+	c.requireRange(p.Grace, 0, Duration(time.Minute), "grace")
+	c.requireRange(p.RefusalLimit, 0, Duration(maxTimeout), "refusalLimit")
 	c.require(p.MaxRequests > 0 && p.MaxRequests <= limitRequests, "maxRequests", p.MaxRequests, "1 to 5000000")
 	c.require(p.MaxOpen > 0 && p.MaxOpen <= limitOpen, "maxOpen", p.MaxOpen, "1 to 60000")
 	p.checkPhases(c)
@@ -73,7 +74,7 @@
 
 func (p *Plan) checkPhases(c *checker) {
 	if len(p.Phases) == 0 {
-		c.within(p.Duration, Duration(time.Millisecond), Duration(maxDuration), "duration")
+		c.requireRange(p.Duration, Duration(time.Millisecond), Duration(maxDuration), "duration")
 		return
 	}
 	c.require(p.Duration == 0, "duration", time.Duration(p.Duration), "nothing beside phases, which have their own")
@@ -83,16 +84,16 @@
 		path := fmt.Sprintf("phases[%d]", i)
 		c.require(phase.Name != "" && !names[phase.Name], path+".name", phase.Name, "a name given once")
 		names[phase.Name] = true
-		c.within(phase.Duration, Duration(time.Millisecond), Duration(maxDuration), path+".duration")
+		c.requireRange(phase.Duration, Duration(time.Millisecond), Duration(maxDuration), path+".duration")
 		c.require(phase.Multiplier > 0 && phase.Multiplier <= maxMultiplier, path+".multiplier", phase.Multiplier, "more than 0, at most 1000")
 		total += min(phase.Duration, Duration(maxDuration))
 	}
 	c.require(total <= Duration(maxDuration), "phases", time.Duration(total), "24h or less in all")
 }
 
-// loopback accepts IP numbers of this host only. A load generator that is
-// pointed at another host by mistake would flood it.
-func (c *checker) loopback(urls []string, field string) {
+// requireLoopback accepts only URLs with a loopback IP address, so that a load
+// generator with a wrong target can't flood another host.
+func (c *checker) requireLoopback(urls []string, field string) {
 	const wanted = `"http://IP:port" with a loopback address (127.0.0.0/8 or ::1): load is never sent to other hosts`
 	for i, text := range urls {
 		c.require(isLoopback(text), fmt.Sprintf("%s[%d]", field, i), text, wanted)
@@ -119,13 +120,13 @@
 	class.MaxTokens.check(c, path+".maxTokens", maxTokens)
 	shared := class.SharedPrefixBytes
 	c.require(shared >= 0 && shared <= maxBytes, path+".sharedPrefixBytes", shared, "0 to 1048576")
-	c.share(class.StreamShare, path+".streamShare")
-	c.share(class.KeyShare, path+".keyShare")
-	c.share(class.CancelShare, path+".cancelShare")
-	c.share(class.SlowShare, path+".slowShare")
-	c.within(class.Timeout, Duration(minTimeout), Duration(maxTimeout), path+".timeout")
-	c.within(class.CancelAfter, 1, Duration(maxTimeout), path+".cancelAfter")
-	c.within(class.SlowPause, 1, Duration(time.Minute), path+".slowPause")
+	c.requireShare(class.StreamShare, path+".streamShare")
+	c.requireShare(class.KeyShare, path+".keyShare")
+	c.requireShare(class.CancelShare, path+".cancelShare")
+	c.requireShare(class.SlowShare, path+".slowShare")
+	c.requireRange(class.Timeout, Duration(minTimeout), Duration(maxTimeout), path+".timeout")
+	c.requireRange(class.CancelAfter, 1, Duration(maxTimeout), path+".cancelAfter")
+	c.requireRange(class.SlowPause, 1, Duration(time.Minute), path+".slowPause")
 }
 
 func (class *Class) checkProcesses(c *checker, path string) {
@@ -135,8 +136,8 @@
 	}
 	if b := class.Bursts; b != nil {
 		c.require(b.Size > 0 && b.Size <= limitRequests, path+".bursts.size", b.Size, "1 to 5000000")
-		c.within(b.Every, Duration(time.Millisecond), Duration(maxDuration), path+".bursts.every")
-		c.within(b.Spread, 0, b.Every, path+".bursts.spread")
+		c.requireRange(b.Every, Duration(time.Millisecond), Duration(maxDuration), path+".bursts.every")
+		c.requireRange(b.Spread, 0, b.Every, path+".bursts.spread")
 	}
 }
 
@@ -164,7 +165,8 @@
 	c.require(!strings.ContainsAny(call.Service, "/?#"), path+".service", call.Service, "a service's name")
 }
 
-// key returns the checkpoint that answers calls of a model or adapter, or "".
+// key returns the key, "NAME@VERSION", of the checkpoint that answers calls of a
+// model or adapter, or "" if Versions has no entry for it.
 func (p *Plan) key(name string) string {
 	if _, adapter, both := strings.Cut(name, ":"); both {
 		name = adapter
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -13,8 +13,8 @@
 	readBufferBytes = 8 << 10
 )
 
-// newTransport returns a client that keeps as many connections as requests may
-// be open, uses no proxy and asks for no compression.
+// newTransport returns a transport that keeps up to maxOpen idle connections,
+// uses no proxy and requests no compression.
 func newTransport(maxOpen int) *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
--- a/internal/load/verdict.go
+++ b/internal/load/compare.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// compareText finds the fault of a text that ended as if it were whole, or ""
-// if it is right.
+// compareText classifies the difference between the expected text and a text
+// that ended as complete. It returns "" as the fault if they are equal.
 func compareText(want, got string) (Fault, string) {
 	if want == got {
 		return "", ""
@@ -24,7 +24,7 @@
 	}
 }
 
-// repeats tells whether the n bytes inserted at a place occur before it.
+// repeats reports whether the n bytes at position at also occur before it.
 func repeats(text string, at, n int) bool { return strings.Contains(text[:at], text[at:at+n]) }
 
 func commonPrefix(a, b string) int {
@@ -43,7 +43,7 @@
 	return n
 }
 
-// excerptBytes of a text are shown in a report.
+// excerptBytes is the maximum length of a text quoted in a report.
 const excerptBytes = 40
 
 func excerpt(text string) string { return text[:min(len(text), excerptBytes)] }
--- a/internal/load/decode.go
+++ b/internal/load/decode.go
@@ -13,10 +13,11 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// maxShown limits a wrong value in an error, in bytes.
+// maxShown is the length in bytes after which an error message truncates a
+// value.
 const maxShown = 60
 
-// checker collects the faults of one plan.
+// checker collects the problems found in one plan.
 type checker struct {
 	file     string
 	data     []byte
@@ -33,7 +34,8 @@
 	})
 }
 
-// lineOf returns the line of a field or of the nearest one around it.
+// lineOf returns the line of a field, or of the nearest enclosing field whose
+// line is known.
 func (c *checker) lineOf(field string) int {
 	for {
 		if line, known := c.lines[field]; known || field == "" {
@@ -43,9 +45,9 @@
 	}
 }
 
-// parse checks names and types first, so that all faults of a plan are told at
-// once, and a field given twice is refused, of which encoding/json silently
-// takes the last.
+// parse checks field names and types before decoding, so that all problems are
+// reported at once and duplicate fields are rejected. encoding/json alone would
+// silently use the last of the duplicates.
 func (c *checker) parse(data []byte, into *Plan) {
 	root, err := hujson.Parse(data)
 	if err != nil {
@@ -53,13 +55,13 @@
 		return
 	}
 	c.data = data
-	c.value(root, reflect.TypeOf(*into), "")
+	c.checkValue(root, reflect.TypeOf(*into), "")
 	if len(c.problems) == 0 {
 		c.decode(root, into)
 	}
 }
 
-func (c *checker) value(node hujson.Value, want reflect.Type, path string) {
+func (c *checker) checkValue(node hujson.Value, want reflect.Type, path string) {
 	c.lines[path] = 1 + bytes.Count(c.data[:node.StartOffset], []byte{'\n'})
 	if want.Kind() == reflect.Pointer {
 		want = want.Elem()
@@ -68,7 +70,7 @@
 	case *hujson.Object:
 		c.object(v, want, path)
 	case *hujson.Array:
-		c.array(v, want, path)
+		c.checkArray(v, want, path)
 	case hujson.Literal:
 		if wanted := literalWanted(v, want); wanted != "" {
 			c.report(path, string(v), wanted)
@@ -76,23 +78,23 @@
 	}
 }
 
-func (c *checker) array(array *hujson.Array, want reflect.Type, path string) {
+func (c *checker) checkArray(array *hujson.Array, want reflect.Type, path string) {
 	if want.Kind() != reflect.Slice {
 		c.report(path, "an array", kindWanted(want))
 		return
 	}
 	for i, element := range array.Elements {
-		c.value(element, want.Elem(), fmt.Sprintf("%s[%d]", path, i))
+		c.checkValue(element, want.Elem(), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-func (c *checker) object(object *hujson.Object, want reflect.Type, path string) {
+func (c *checker) object(checkObject *hujson.Object, want reflect.Type, path string) {
 	if want.Kind() != reflect.Struct && want.Kind() != reflect.Map {
 		c.report(path, "an object", kindWanted(want))
 		return
 	}
 	seen := map[string]bool{}
-	for _, member := range object.Members {
+	for _, member := range checkObject.Members {
 		name := member.Name.Value.(hujson.Literal).String()
 		full := strings.TrimPrefix(path+"."+name, ".")
 		field, known := fieldType(want, name)
@@ -102,7 +104,7 @@
 		case seen[name]:
 			c.report(full, "the field twice", "it once")
 		default:
-			c.value(member.Value, field, full)
+			c.checkValue(member.Value, field, full)
 		}
 		seen[name] = true
 	}
@@ -128,7 +130,8 @@
 	return of.Field(i).Type, true
 }
 
-// literalWanted returns what was wanted instead, or "".
+// literalWanted returns a description of the type wanted if the literal does not
+// match it, or "".
 func literalWanted(literal hujson.Literal, want reflect.Type) string {
 	isNumber, isString := literal.Kind() == '0', literal.Kind() == '"'
 	ok := false
--- a/internal/load/fault_test.go
+++ b/internal/load/fault_test.go
@@ -23,7 +23,7 @@
 	testRunID = "test"
 )
 
-// system is a small stand-in for the entry, the stand-ins and their referee.
+// system fakes the entry, the backend servers and their referee in one handler.
 type system struct {
 	answer  http.HandlerFunc
 	referee func(read int) refereeReport
@@ -40,7 +40,8 @@
 	s.answer(w, r)
 }
 
-// ranAfterwards is a referee that sees a run between its two readings.
+// ranAfterwards returns a referee that counts the given number of runs of one
+// request between its two readings.
 func ranAfterwards(id string, times int) func(int) refereeReport {
 	return func(read int) refereeReport {
 		if read == 1 {
@@ -50,7 +51,7 @@
 	}
 }
 
-// tokensOf returns the right answer to a completion.
+// tokensOf returns the correct answer to a completion request.
 func tokensOf(r *http.Request) []string {
 	var body completionBody
 	_ = json.NewDecoder(r.Body).Decode(&body)
@@ -83,7 +84,7 @@
 	_, _ = fmt.Fprintf(w, `{"model":"m","choices":[{"message":{"content":%q}}]}`, strings.Join(tokens, ""))
 }
 
-// refuse answers as the entry refuses a request that did not run.
+// refuse writes the refusal that the entry sends for a request that did not run.
 func refuse(w http.ResponseWriter, retryAfter string) {
 	w.Header().Set(headerCode, "2002")
 	w.Header().Set(headerNotRun, "true")
@@ -140,8 +141,8 @@
 	}
 }
 
-// Each case is a system with one planted fault, which the caller or a referee
-// can see, and which must be found, counted once and told apart from others.
+// Each case is a system with one injected fault that the caller or a referee can
+// observe. The fault must be detected, counted once and classified correctly.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	streamed := Class{Calls: modelCalls(), StreamShare: 1}
 	keyed := Class{Calls: serviceCalls("POST"), KeyShare: 1}
@@ -152,32 +153,33 @@
 		referee func(int) refereeReport
 		want    Fault
 	}{
-		// An inspector gets another room's defect line: the entry matched a
-		// late frame to the wrong request.
+		// A caller gets the answer to another prompt: the entry matched a late
+		// frame to the wrong request.
 		{"crossed stream", streamed, func(w http.ResponseWriter, r *http.Request) {
 			writeTokens(w, engine.Answer(modelKey, "another prompt", len(tokensOf(r))))
 			_, _ = io.WriteString(w, done)
 		}, nil, FaultCrossed},
-		// The same, and the connection breaks off before the end, so that it
-		// could pass for merely cut.
+		// The same, but the connection breaks off before the end, so that the
+		// fault could be mistaken for a cut answer.
 		{"crossed and broken", streamed, func(w http.ResponseWriter, r *http.Request) {
 			writeTokens(w, engine.Answer(modelKey, "another prompt", len(tokensOf(r)))[:2])
 			_, _ = io.WriteString(w, "event: error\ndata: {\"error\":{\"code\":3004}}\n\n")
 		}, nil, FaultCrossed},
-		// A club gets the answer to another club's call of the registry.
+		// A caller gets the answer to another caller's call of a service.
 		{"crossed echo", Class{Calls: serviceCalls("GET")}, func(w http.ResponseWriter, r *http.Request) {
 			r.URL.RawQuery = "of=ngor"
 			serveRight(w, r)
 		}, nil, FaultCrossed},
-		// A token frame is lost; the answer ends as if it were whole.
+		// A token frame is lost, but the answer ends as if it were complete.
 		{"hole in a stream", streamed, func(w http.ResponseWriter, r *http.Request) {
 			tokens := tokensOf(r)
 			writeTokens(w, tokens[:3])
 			writeTokens(w, tokens[4:])
 			_, _ = io.WriteString(w, done)
 		}, nil, FaultCut},
-		// The entry dies in the midst of a stream and the connection ends
-		// properly: without [DONE] the caller can't know that it has all.
+		// The entry crashes during a stream and the connection is closed
+		// normally. Without [DONE] the caller can't know whether the answer is
+		// complete.
 		{"no end", streamed, func(w http.ResponseWriter, r *http.Request) {
 			writeTokens(w, tokensOf(r))
 		}, nil, FaultCut},
@@ -188,7 +190,7 @@
 			writeTokens(w, tokens[3:])
 			_, _ = io.WriteString(w, done)
 		}, nil, FaultDoubled},
-		// Two attempts answer, one after the other.
+		// Two attempts of one request both answer, one after the other.
 		{"doubled answer", streamed, func(w http.ResponseWriter, r *http.Request) {
 			tokens := tokensOf(r)
 			for range 2 {
@@ -196,19 +198,20 @@
 				_, _ = io.WriteString(w, done)
 			}
 		}, nil, FaultDoubled},
-		// A registration is charged twice; its caller sees one right answer.
+		// A call runs twice, but its caller gets a single, correct answer.
 		{"doubled charge", keyed, serveRight, ranAfterwards("load-test-0", 2), FaultDoubled},
-		// The entry forgets the request: no answer ever.
+		// The entry loses the request and never answers.
 		{"no answer", streamed, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 		}, nil, FaultLost},
-		// The entry is killed: the connection ends before any answer.
+		// The entry is killed, and the connection ends before any answer.
 		{"connection lost", streamed, func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}, nil, FaultLost},
-		// "Not run", says the entry; the attempt that it gave up on runs, and
-		// a caller who trusts it charges again.
+		// The entry refuses the request as not run, but the attempt that it
+		// abandoned does run. A caller that relies on the refusal sends the call
+		// again.
 		{"untrue refusal", keyed, func(w http.ResponseWriter, _ *http.Request) {
 			refuse(w, "1")
 		}, ranAfterwards("load-test-0", 1), FaultUntrueRefusal},
@@ -216,7 +219,7 @@
 		{"untrue refusal by id", Class{Calls: modelCalls()}, func(w http.ResponseWriter, _ *http.Request) {
 			refuse(w, "1")
 		}, ranAfterwards(testID, 1), FaultUntrueRefusal},
-		// Refused clients come back at once, all together.
+		// Without Retry-After, refused clients all retry at once.
 		{"no Retry-After", streamed, func(w http.ResponseWriter, _ *http.Request) {
 			refuse(w, "")
 		}, nil, FaultNoRetryAfter},
@@ -233,9 +236,9 @@
 	}
 }
 
-// Two inspectors ask the same model at once, and each gets the other's answer:
-// the entry swapped their request ids. Both answers are whole and of the right
-// length, so that only the text tells.
+// Two callers use the same model at once and each gets the other's answer,
+// because the entry swapped their request ids. Both answers are complete and of
+// the right length, so only the text reveals the fault.
 func TestSwappedAnswersAreFound(t *testing.T) {
 	first, second := make(chan []string), make(chan []string)
 	var arrived atomic.Int32
@@ -257,8 +260,8 @@
 	}
 }
 
-// The entry holds a hopeless request back until near its deadline instead of
-// refusing it at once, so that the caller waits for nothing.
+// The entry queues a request that it can't serve in time until shortly before
+// the deadline instead of refusing it at once, so the caller waits in vain.
 func TestLateRefusalIsFound(t *testing.T) {
 	s := &system{answer: func(w http.ResponseWriter, _ *http.Request) { refuse(w, "1") }}
 	summary := runAgainst(t, s, Class{Calls: modelCalls()}, func(p *Plan) { p.RefusalLimit = 1 })
@@ -267,8 +270,9 @@
 	}
 }
 
-// Another client account's charge runs twice while the load runs, and an engine is
-// overcommitted. No caller of the run sees either; the referees do.
+// During the run, a call of another client account runs twice and an engine's
+// memory is overcommitted. No caller of the run can observe either, but the
+// referees count both.
 func TestRefereesFaultsCount(t *testing.T) {
 	s := &system{answer: serveRight, referee: func(read int) refereeReport {
 		return refereeReport{DoubleRuns: 3 * read, MemoryViolations: 2 * read, Loads: read}
--- a/internal/load/measure.go
+++ b/internal/load/measure.go
@@ -7,8 +7,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms, in microseconds. Longer times count
-// as the longest; a plan's timeouts are below it.
+// Range of the histograms in microseconds, and their precision in significant
+// digits. Longer times are recorded as highestMicros, which is above the longest
+// timeout of a plan.
 const (
 	lowestMicros  = 1
 	highestMicros = int64(2 * time.Hour / time.Microsecond)
@@ -23,11 +24,11 @@
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
 	if err := h.RecordValue(micros); err != nil {
-		panic(err) // the value has been brought within range
+		panic(err) // unreachable: the value was clamped to the range
 	}
 }
 
-// series is what is measured of a class in a phase.
+// series accumulates the measurements of one class in one phase.
 type series struct {
 	class, phase string
 	sent, good   int
@@ -64,7 +65,8 @@
 	}
 }
 
-// addLatencies is not for slow readers, whose latencies are their own doing.
+// addLatencies records the latencies of a result. It isn't called for slow
+// readers, whose latencies are caused by the plan's own pauses.
 func (s *series) addLatencies(r *result) {
 	if r.firstToken > 0 {
 		record(s.firstToken, r.latency(r.firstToken))
@@ -77,7 +79,8 @@
 	}
 }
 
-// bucket is what is measured of the arrivals of a stretch of time.
+// bucket accumulates the results of the arrivals in one interval of the
+// timeline.
 type bucket struct {
 	ok, refused, other, faulty int
 	whole                      *hdrhistogram.Histogram
@@ -99,13 +102,15 @@
 	}
 }
 
-// maxExamples is the number of faults described in a summary.
+// maxExamples limits the faults described in a summary.
 const maxExamples = 20
 
-// recorder takes the results of all requests.
+// recorder accumulates the results of all requests. Its methods are safe for
+// concurrent use.
 type recorder struct {
 	classes map[*Class]int
-	// total is the length of all phases, width that of a bucket.
+	// total is the length of all phases together, width the length of a
+	// bucket.
 	total, width time.Duration
 
 	mu       sync.Mutex
@@ -120,7 +125,8 @@
 	refused  int
 }
 
-// maxBuckets bounds the timeline, nearly: a bucket is a whole second or more.
+// maxBuckets is the approximate upper limit on the points of the timeline. It is
+// not exact because the width of a bucket is rounded to whole seconds.
 const maxBuckets = 600
 
 func newRecorder(plan *Plan) *recorder {
@@ -153,7 +159,7 @@
 	record(rec.lag, r.sent-r.at)
 	rec.count(r)
 	for _, f := range r.findings {
-		rec.note(s, r.number, r.requestID, f)
+		rec.addFault(s, r.number, r.requestID, f)
 	}
 	if r.refused || r.runsOnce() {
 		rec.claims = append(rec.claims, claim{
@@ -173,7 +179,7 @@
 	}
 }
 
-func (rec *recorder) note(s *series, number int, id string, f finding) {
+func (rec *recorder) addFault(s *series, number int, id string, f finding) {
 	s.faults[f.fault]++
 	rec.faults++
 	if len(rec.examples) < maxExamples {
@@ -183,16 +189,16 @@
 	}
 }
 
-// hear lets the referees judge all claims, and returns the double runs that
-// they saw and no claim accounts for.
-func (rec *recorder) hear(w *witness) (unclaimed int) {
+// checkClaims checks all claims against the referees' counts. It returns the
+// number of double runs that no claim of this run accounts for.
+func (rec *recorder) checkClaims(w *refereeCheck) (unclaimed int) {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	unclaimed = w.change.DoubleRuns
 	for i := range rec.claims {
 		c := &rec.claims[i]
-		if f, found := w.judge(c); found {
-			rec.note(c.series, c.number, c.requestID, f)
+		if f, found := w.check(c); found {
+			rec.addFault(c.series, c.number, c.requestID, f)
 		}
 		if c.runsOnce {
 			unclaimed -= max(0, w.runsOf(c)-1)
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -25,33 +25,35 @@
 	defaultSlowPause   = Duration(50 * time.Millisecond)
 )
 
-// Plan describes a run. It is written as JSON with comments.
+// Plan describes a run. Plan files are JSON with comments.
 type Plan struct {
-	// Targets are the entries' base URLs, used in turn. When one can't be
-	// connected to, the next is tried, as a balancer would. Required.
+	// Targets are the entries' base URLs, used round-robin. If a connection
+	// to one fails, the next is tried, as a load balancer would do. Required.
 	Targets []string `json:"targets"`
-	// Referees are the base URLs of stand-in engines and services, read
-	// before and after the run. Servers that share a referee are named once.
+	// Referees are the base URLs of stand-in engines and services whose
+	// counts are read before and after the run. For servers that share a
+	// referee, list only one.
 	Referees []string `json:"referees,omitempty"`
-	// Seed decides all that is drawn. Default 0.
+	// Seed initialises the random sources of the run. Default 0.
 	Seed uint64 `json:"seed,omitempty"`
 	// Duration is the length of a run without Phases.
 	Duration Duration `json:"duration,omitempty"`
-	// Phases follow one another. Default: one, "steady", at 1x.
+	// Phases run one after another. Default: one phase, "steady", with
+	// multiplier 1.
 	Phases []Phase `json:"phases,omitempty"`
-	// Grace is how long after its timeout a request waits before it counts
-	// as lost, and how long after the run the referees are read. Default 2s.
+	// Grace is the time after its timeout at which a request counts as lost,
+	// and the time after the run at which the referees are read. Default 2s.
 	Grace Duration `json:"grace,omitempty"`
-	// RefusalLimit is the longest time from sending to a refusal that is not
+	// RefusalLimit is the time from sending after which a refusal counts as
 	// late. Default: each request's own timeout.
 	RefusalLimit Duration `json:"refusalLimit,omitempty"`
-	// MaxRequests bounds the arrivals. Default 1,000,000.
+	// MaxRequests limits the number of arrivals. Default 1,000,000.
 	MaxRequests int `json:"maxRequests,omitempty"`
-	// MaxOpen bounds the requests open at once. An arrival over it waits,
-	// while its latency counts. Default 10,000.
+	// MaxOpen limits the requests open at once. An arrival beyond it waits, and
+	// its latency includes the wait. Default 10,000.
 	MaxOpen int `json:"maxOpen,omitempty"`
-	// Versions gives the version in force of each model and adapter called,
-	// by which the expected answers are computed.
+	// Versions maps each model and adapter called to its version in force. The
+	// expected answers depend on it.
 	Versions map[string]string `json:"versions,omitempty"`
 	// Classes are the traffic classes. Required.
 	Classes []Class `json:"classes"`
@@ -67,48 +69,51 @@
 	Multiplier float64 `json:"multiplier"`
 }
 
-// Class is a kind of traffic.
+// Class is a traffic class.
 type Class struct {
 	// Name is unique. Required.
 	Name string `json:"name"`
-	// APIKey is the client account's. Required.
+	// APIKey is the API key of the client account. Required.
 	APIKey string `json:"apiKey"`
-	// Priority is sent along if given.
+	// Priority is sent in the Priority header if set.
 	Priority api.Priority `json:"priority,omitempty"`
-	// Poisson and Bursts are the arrival processes: one or both.
+	// Poisson and Bursts are the arrival processes. At least one is required.
 	Poisson *Poisson `json:"poisson,omitempty"`
 	Bursts  *Bursts  `json:"bursts,omitempty"`
-	// Calls are chosen from by weight. Required.
+	// Calls are the possible calls, chosen at random by weight. Required.
 	Calls []Call `json:"calls"`
-	// PromptBytes is drawn evenly. Default 200.
+	// PromptBytes is the prompt length in bytes, drawn uniformly. Default 200.
 	PromptBytes *Range `json:"promptBytes,omitempty"`
-	// SharedPrefixBytes begin all prompts for one model alike. Default 0.
+	// SharedPrefixBytes is the length of the prefix that all prompts of the
+	// class share. Default 0.
 	SharedPrefixBytes int `json:"sharedPrefixBytes,omitempty"`
-	// MaxTokens is drawn evenly. Default 32.
+	// MaxTokens is the requested number of tokens, drawn uniformly. Default 32.
 	MaxTokens *Range `json:"maxTokens,omitempty"`
-	// StreamShare of the completions is streamed, from 0 to 1. Default 0.
+	// StreamShare is the share of completions that are streamed, from 0 to 1.
+	// Default 0.
 	StreamShare float64 `json:"streamShare,omitempty"`
-	// KeyShare of the requests carries an idempotency key. Default 0.
+	// KeyShare is the share of requests with an idempotency key. Default 0.
 	KeyShare float64 `json:"keyShare,omitempty"`
-	// Timeout is sent as Request-Timeout. Default 10s.
+	// Timeout is sent in the Request-Timeout header. Default 10s.
 	Timeout Duration `json:"timeout,omitempty"`
-	// CancelShare of the callers goes away CancelAfter (default 200ms) after
-	// sending, unless answered by then. Default 0.
+	// CancelShare is the share of requests that the caller cancels CancelAfter
+	// (default 200ms) after sending, unless answered by then. Default 0.
 	CancelShare float64  `json:"cancelShare,omitempty"`
 	CancelAfter Duration `json:"cancelAfter,omitempty"`
-	// SlowShare of the callers pauses SlowPause (default 50ms) before each
-	// read of up to 512 bytes. Default 0.
+	// SlowShare is the share of callers that pause for SlowPause (default
+	// 50ms) before each read of up to 512 bytes. Default 0.
 	SlowShare float64  `json:"slowShare,omitempty"`
 	SlowPause Duration `json:"slowPause,omitempty"`
 }
 
-// Poisson is an arrival process with independent gaps.
+// Poisson is a Poisson arrival process with a mean rate of PerSecond.
 type Poisson struct {
 	PerSecond float64 `json:"perSecond"`
 }
 
-// Bursts is an arrival process of Size requests, evenly drawn over Spread, at
-// the start of the run and Every so often.
+// Bursts is an arrival process with a burst of Size requests at the start of the
+// run and after each Every. The requests of a burst are drawn uniformly over
+// Spread.
 type Bursts struct {
 	Size   int      `json:"size"`
 	Spread Duration `json:"spread,omitempty"`
@@ -117,24 +122,26 @@
 
 // Call is either a completion by one of Models or a call of Service.
 type Call struct {
-	// Weight is the share among the calls of a class. Default 1.
+	// Weight is the relative weight among the calls of a class. Default 1.
 	Weight float64 `json:"weight,omitempty"`
-	// Models are "model", "model:adapter" or an adapter's own name.
+	// Models lists names of the form "model" or "model:adapter", or the name
+	// of an adapter alone.
 	Models []string `json:"models,omitempty"`
-	// Zipf is the exponent of a long tail over Models: the n-th is chosen
-	// with a weight of 1/n^Zipf. Default 0: all alike.
+	// Zipf is the exponent of the distribution over Models: the n-th has the
+	// weight 1/n^Zipf. Default 0, which makes all equally likely.
 	Zipf float64 `json:"zipf,omitempty"`
 	// Service is the name of a plain service.
 	Service string `json:"service,omitempty"`
 	// Method is the HTTP method. Default GET.
 	Method string `json:"method,omitempty"`
-	// Path of the service; a query parameter with a unique token is added.
+	// Path is the path of the service call. A query parameter with a unique
+	// token is added to it.
 	Path string `json:"path,omitempty"`
-	// Body is sent to the service as it is.
+	// Body is sent to the service unchanged.
 	Body string `json:"body,omitempty"`
 }
 
-// Range is drawn from evenly, both ends included.
+// Range is an inclusive range from which values are drawn uniformly.
 type Range struct {
 	Min int `json:"min"`
 	Max int `json:"max"`
@@ -150,8 +157,8 @@
 	return ParsePlan(file, data)
 }
 
-// ParsePlan is ReadPlan for the contents of a file; file is named in errors
-// only.
+// ParsePlan parses and checks the contents of a plan file. The name file is used
+// only in error messages.
 func ParsePlan(file string, data []byte) (Plan, error) {
 	c := &checker{file: file, lines: map[string]int{}}
 	var plan Plan
@@ -182,7 +189,7 @@
 	p.check(c)
 }
 
-// decode reads a plan whose fields have been checked by name and type.
+// decode decodes a plan whose field names and types have been checked.
 func (c *checker) decode(root hujson.Value, into *Plan) {
 	root.Standardize()
 	if err := json.Unmarshal(root.Pack(), into); err != nil {
@@ -199,7 +206,7 @@
 	}
 }
 
-// phases returns the phases, or the one that stands for none.
+// phases returns the phases of the plan, or the default phase if it has none.
 func (p *Plan) phases() []Phase {
 	if len(p.Phases) > 0 {
 		return p.Phases
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// planText is a valid plan with one text in it replaced.
+// planText returns a valid plan with the first occurrence of old replaced.
 func planText(old, replacement string) string {
 	const text = `{
   "targets": ["http://127.0.0.1:1"],
--- a/internal/load/progress.go
+++ b/internal/load/progress.go
@@ -7,8 +7,8 @@
 
 const progressInterval = time.Second
 
-// startProgress writes a line each second until the function returned is
-// called.
+// startProgress writes a progress line each second until the returned function
+// is called.
 func (r *runner) startProgress() (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
@@ -44,7 +44,8 @@
 		rec.ok, rec.refused, rec.done-rec.ok-rec.refused, rec.faults)
 }
 
-// phaseName returns the phase in force, "drain" after the last.
+// phaseName returns the name of the phase at a time, or "drain" after the last
+// phase.
 func (r *runner) phaseName(at time.Duration) string {
 	end := time.Duration(0)
 	for _, phase := range r.plan.phases() {
--- a/internal/load/referee.go
+++ b/internal/load/referee.go
@@ -16,7 +16,8 @@
 	refereeTimeout = 10 * time.Second
 )
 
-// refereeReport is what the referees of stand-in engines and services share.
+// refereeReport has the fields that the referees of stand-in engines and of
+// stand-in services have in common.
 type refereeReport struct {
 	Loads            int            `json:"loads"`
 	MemoryViolations int            `json:"memoryViolations"`
@@ -26,19 +27,19 @@
 	ByID             map[string]int `json:"byID"`
 }
 
-// RefereeChange is how much all referees together counted during the run.
+// RefereeChange is the sum of what all referees counted during the run.
 type RefereeChange struct {
 	Loads int `json:"loads"`
 	// MemoryViolations counts loads that would overcommit an accelerator.
 	MemoryViolations int `json:"memory_violations"`
-	// DoubleRuns counts second runs of calls that may run once only, whoever
-	// called.
+	// DoubleRuns counts repeated runs of calls that may run only once, also of
+	// callers outside this run.
 	DoubleRuns int `json:"double_runs"`
-	// RunsCut counts runs broken off by an unload.
+	// RunsCut counts runs aborted by an unload.
 	RunsCut int `json:"runs_cut"`
 }
 
-// add counts a report in, or out by a factor of -1.
+// add adds the counts of a report multiplied by factor, 1 or -1.
 func (c *RefereeChange) add(report *refereeReport, factor int) {
 	c.Loads += factor * report.Loads
 	c.MemoryViolations += factor * report.MemoryViolations
@@ -77,14 +78,15 @@
 	return report, json.NewDecoder(response.Body).Decode(report)
 }
 
-// witness compares what the system told callers with what referees saw.
-type witness struct {
+// refereeCheck compares the answers that callers got with the runs that the
+// referees counted.
+type refereeCheck struct {
 	change RefereeChange
 	runs   map[string]int
 }
 
-func newWitness(before, after []*refereeReport) *witness {
-	w := &witness{runs: map[string]int{}}
+func newRefereeCheck(before, after []*refereeReport) *refereeCheck {
+	w := &refereeCheck{runs: map[string]int{}}
 	for _, report := range before {
 		w.change.add(report, -1)
 		w.addRuns(report, -1)
@@ -96,7 +98,7 @@
 	return w
 }
 
-func (w *witness) addRuns(report *refereeReport, factor int) {
+func (w *refereeCheck) addRuns(report *refereeReport, factor int) {
 	for _, byName := range []map[string]int{report.Runs, report.ByID} {
 		for name, count := range byName {
 			w.runs[name] += factor * count
@@ -104,17 +106,18 @@
 	}
 }
 
-// runsOf returns how often a request ran. Referees name it by its idempotency
-// key, or by its id where there is none.
-func (w *witness) runsOf(c *claim) int {
+// runsOf returns how often a request ran. Referees count it under its
+// idempotency key, or under its request id if it has none.
+func (w *refereeCheck) runsOf(c *claim) int {
 	name := cmp.Or(c.key, c.requestID)
 	if name == "" {
-		return 0 // no answer told the id
+		return 0 // no answer carried the request id
 	}
 	return w.runs[name]
 }
 
-// claim is what a caller was told of a request and a referee may contradict.
+// claim is a statement about a request that the referees' counts can contradict:
+// that it was refused without running, or that it runs at most once.
 type claim struct {
 	series         *series
 	number         int
@@ -123,14 +126,14 @@
 	runsOnce       bool
 }
 
-// judge returns the finding that a claim comes to, if any.
-func (w *witness) judge(c *claim) (finding, bool) {
+// check returns the fault if the referees' counts contradict the claim.
+func (w *refereeCheck) check(c *claim) (finding, bool) {
 	runs := w.runsOf(c)
 	switch {
 	case c.refused && runs > 0:
-		return finding{FaultUntrueRefusal, "refused as not run, and ran"}, true
+		return finding{FaultUntrueRefusal, "refused as not run, but ran"}, true
 	case c.runsOnce && runs > 1:
-		return finding{FaultDoubled, "a call that must run at most once ran more often"}, true
+		return finding{FaultDoubled, "a call that must run at most once ran several times"}, true
 	default:
 		return finding{}, false
 	}
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -21,7 +21,7 @@
 	tokenParameter = "load_token"
 )
 
-// Headers of requests and answers.
+// HTTP headers of requests and answers.
 const (
 	headerIdempotencyKey = "Idempotency-Key"
 	headerTimeout        = "Request-Timeout"
@@ -44,7 +44,8 @@
 	Content string `json:"content"`
 }
 
-// promptText is unique within a run, so that another request's answer differs.
+// promptText returns a prompt that is unique within the run, so that each
+// request has a different answer.
 func (a *arrival) promptText() string {
 	shared := filler(min(a.class.SharedPrefixBytes, a.prompt))
 	unique := fmt.Sprintf("%s %s %d ", shared, a.class.Name, a.number)
@@ -56,11 +57,11 @@
 	return strings.Repeat(text, n/len(text)+1)[:n]
 }
 
-// uniqueName names a request over all runs: keys of an earlier run may still
-// be remembered by the system.
+// uniqueName returns a name for a request that is unique over all runs, because
+// the system may still store idempotency keys of an earlier run.
 func (a *arrival) uniqueName(run string) string { return "load-" + run + "-" + strconv.Itoa(a.number) }
 
-// servicePath returns the path and query that the service must see.
+// servicePath returns the path and query that the service must receive.
 func (a *arrival) servicePath(run string) string {
 	separator := "?"
 	if strings.Contains(a.call.Path, "?") {
@@ -81,8 +82,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody, net/http can't send a request again by itself after its
-	// connection broke, which would hide a loss or double a run.
+	// Without GetBody, net/http can't resend a request by itself after a
+	// connection failure, which would hide a loss or run a call twice.
 	request.GetBody = nil
 	a.setHeader(request.Header, run)
 	return request, nil
@@ -94,7 +95,7 @@
 		Messages: []chatMessage{{Role: "user", Content: a.promptText()}},
 	})
 	if err != nil {
-		panic(err) // a struct of strings and numbers always encodes
+		panic(err) // unreachable: the struct has only strings, numbers and bools
 	}
 	return string(body)
 }
@@ -115,8 +116,8 @@
 	}
 }
 
-// runsOnce tells that the request must run at most once: it is keyed, or the
-// method is not idempotent.
+// runsOnce reports whether the request must run at most once: it has an
+// idempotency key, or its method is not idempotent.
 func (a *arrival) runsOnce() bool {
 	if a.keyed || a.call.Service == "" {
 		return a.keyed
@@ -124,16 +125,16 @@
 	return a.call.Method == http.MethodPost || a.call.Method == http.MethodPatch
 }
 
-// expectedText is the whole answer of a completion.
+// expectedText returns the complete expected answer of a completion.
 func (a *arrival) expectedText(plan *Plan) string {
 	return strings.Join(engine.Answer(plan.key(a.model), a.promptText(), a.tokens), "")
 }
 
-// expectedEcho is what the service must have seen of the call.
+// expectedEcho returns the path and query that the service must echo.
 func (a *arrival) expectedEcho(run string) (path, query string) {
 	parsed, err := url.Parse(a.servicePath(run))
 	if err != nil {
-		return "", "" // the plan's check has refused such a path
+		return "", "" // unreachable: the plan's check rejects such a path
 	}
 	return parsed.Path, parsed.RawQuery
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,21 +10,23 @@
 	"time"
 )
 
-// Options are what a run takes beside its plan.
+// Options are the parameters of a run that are not part of its plan.
 type Options struct {
-	// Progress gets a line each second. Default: none.
+	// Progress receives a progress line each second. Optional.
 	Progress io.Writer
-	// Transport sends the requests. Default: a client for many connections.
+	// Transport sends the requests. Default: a transport that keeps up to
+	// Plan.MaxOpen connections.
 	Transport http.RoundTripper
-	// RunID makes idempotency keys and tokens unique over runs. Default drawn
-	// at random.
+	// RunID makes idempotency keys and tokens unique across runs. Default: a
+	// random text.
 	RunID string
 }
 
-// Run carries a plan out. It returns when all requests have ended, or soon
-// after ctx ended, then with what was measured so far. The error is that of the
-// plan or of a referee that can't be read; if the latter happens after the run,
-// the summary comes with it. Faults found are no error, see Summary.Faults.
+// Run executes a plan. It returns when all requests have ended, or soon after
+// ctx ended with the measurements up to then. It returns an error if the plan is
+// invalid or a referee can't be read. If the second reading of the referees
+// fails, after the run, the summary is returned with the error. Detected faults
+// are not errors; see Summary.Faults.
 func Run(ctx context.Context, plan Plan, opts Options) (*Summary, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -47,17 +49,17 @@
 		record: newRecorder(&plan), slots: make(chan struct{}, plan.MaxOpen),
 	}
 	r.started = time.Now()
-	r.sender = &sender{plan: &plan, run: opts.RunID, transport: opts.Transport, start: r.started}
+	r.sender = &sender{plan: &plan, runID: opts.RunID, transport: opts.Transport, start: r.started}
 	r.run(ctx)
 	return r.summarize(ctx, before)
 }
 
-// runner is one run.
+// runner holds the state of one run.
 type runner struct {
 	plan     *Plan
 	opts     Options
 	arrivals []arrival
-	// more tells that MaxRequests left arrivals out.
+	// more reports that MaxRequests left out arrivals.
 	more    bool
 	started time.Time
 	elapsed time.Duration
@@ -65,14 +67,14 @@
 	record  *recorder
 	slots   chan struct{}
 	sent    atomic.Int64
-	// delayed counts the arrivals that waited because of MaxOpen, unsent
-	// those whose timeout passed meanwhile.
+	// delayed counts the arrivals that waited because of MaxOpen. unsent
+	// counts those of them that were never sent.
 	delayed, unsent int
 	stopped         bool
 }
 
-// run sends all arrivals and waits for their ends. When ctx ends it sends no
-// more and breaks off the open requests.
+// run sends all arrivals and waits until they have ended. When parent ends, it
+// sends no more and cancels the open requests.
 func (r *runner) run(parent context.Context) {
 	ctx, stop := context.WithCancelCause(context.WithoutCancel(parent))
 	defer stop(nil)
@@ -99,7 +101,8 @@
 	r.elapsed = time.Since(r.started)
 }
 
-// await waits for the intended time; false means that the run was stopped.
+// await waits for the intended time of an arrival. It returns false if the run
+// was stopped.
 func (r *runner) await(ctx context.Context, a *arrival) bool {
 	wait := a.at - time.Since(r.started)
 	if wait <= 0 {
@@ -115,8 +118,8 @@
 	}
 }
 
-// acquire waits for a place among the open requests, as long as the caller
-// would: past its timeout the arrival is given up unsent.
+// acquire waits until fewer than MaxOpen requests are open, at most for the
+// timeout of the arrival. It returns false if the arrival is not to be sent.
 func (r *runner) acquire(ctx context.Context, a *arrival) bool {
 	select {
 	case r.slots <- struct{}{}:
@@ -136,8 +139,8 @@
 	return false
 }
 
-// summarize reads the referees after the grace, so that a run that was refused
-// and starts late is still seen.
+// summarize reads the referees after the grace period, so that they also count a
+// call that was refused and still started late.
 func (r *runner) summarize(ctx context.Context, before []*refereeReport) (*Summary, error) {
 	if len(before) == 0 {
 		return r.summary(nil, 0), nil
@@ -148,7 +151,7 @@
 	if err != nil {
 		return r.summary(nil, 0), err
 	}
-	w := newWitness(before, after)
-	unclaimed := r.record.hear(w)
+	w := newRefereeCheck(before, after)
+	unclaimed := r.record.checkClaims(w)
 	return r.summary(&w.change, unclaimed), nil
 }
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -18,8 +18,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// transportFunc answers requests without a network, so that tests can run on
-// synctest's clock.
+// transportFunc answers requests without a network, so that tests can use
+// synctest's fake clock.
 type transportFunc func(*http.Request) (*http.Response, error)
 
 func (f transportFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
@@ -31,8 +31,9 @@
 	return recorder.Result()
 }
 
-// secondly sends a completion each second for four seconds, one at a time.
-func secondly() Plan {
+// onePerSecondPlan returns a plan that sends one completion each second for four
+// seconds, with at most one open at a time.
+func onePerSecondPlan() Plan {
 	return Plan{
 		Targets: []string{"http://127.0.0.1:1"}, Duration: Duration(4 * time.Second), MaxOpen: 1,
 		Versions: map[string]string{"m": "1"},
@@ -43,10 +44,10 @@
 	}
 }
 
-// The system stalls for three seconds and is quick otherwise. The callers that
-// come meanwhile wait, too, but a generator that sends one request after the
-// other would see a single slow one (coordinated omission). All latencies must
-// count from the time that the plan intended.
+// The system stalls for three seconds and is fast otherwise. Callers that arrive
+// during the stall wait as well, but a generator that sends one request after
+// another would measure a single slow one (coordinated omission). All latencies
+// must be measured from the intended send time.
 func TestLatencyCountsFromIntendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stalled := false
@@ -58,7 +59,7 @@
 			return rightResponse(r), nil
 		})
 		var progress bytes.Buffer
-		s, err := Run(t.Context(), secondly(), Options{Transport: transport, Progress: &progress})
+		s, err := Run(t.Context(), onePerSecondPlan(), Options{Transport: transport, Progress: &progress})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,16 +77,17 @@
 	})
 }
 
-// No answer ever comes. The first request is lost at its timeout and grace,
-// after 11.5 s; by then the second one's caller is gone. The third is sent late
-// and lost, too, so that the fourth isn't sent either. All that must be said.
+// No request is ever answered. The first is lost after its timeout and grace
+// period, at 11.5 s. By then the second one's timeout has passed, so it isn't
+// sent. The third is sent late and lost too, so the fourth isn't sent either.
+// The summary must report all of this.
 func TestUnsentArrivalsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := transportFunc(func(r *http.Request) (*http.Response, error) {
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		})
-		plan := secondly()
+		plan := onePerSecondPlan()
 		plan.Grace = Duration(1500 * time.Millisecond)
 		s, err := Run(t.Context(), plan, Options{Transport: transport})
 		if err != nil {
@@ -110,7 +112,7 @@
 				<-r.Context().Done()
 				return nil, r.Context().Err()
 			})
-			plan := secondly()
+			plan := onePerSecondPlan()
 			if want == OutcomeCancelled {
 				plan.Classes[0].CancelShare = 1
 			}
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -14,31 +14,31 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// Reasons why the client ends a request.
+// Causes with which the client cancels a request.
 var (
-	errLost      = errors.New("no end of the answer by the timeout and the grace")
-	errCancelled = errors.New("the caller went away as planned")
+	errLost      = errors.New("the answer did not end within the timeout and the grace period")
+	errCancelled = errors.New("the caller cancelled the request as planned")
 	errStopped   = errors.New("the run was stopped")
 )
 
-// maxRefusalBytes of a refusal's body are read.
+// maxRefusalBytes limits the bytes read of a refusal's body.
 const maxRefusalBytes = 64 << 10
 
 // sender sends requests and checks their answers.
 type sender struct {
 	plan      *Plan
-	run       string
+	runID     string
 	transport http.RoundTripper
 	start     time.Time
 }
 
 func (s *sender) now() time.Duration { return time.Since(s.start) }
 
-// send sends a request and follows its answer to the end.
+// send sends a request and reads and checks its answer.
 func (s *sender) send(ctx context.Context, a *arrival) *result {
 	r := &result{arrival: a, sent: s.now()}
 	if a.keyed {
-		r.key = a.uniqueName(s.run)
+		r.key = a.uniqueName(s.runID)
 	}
 	limit := time.Duration(a.class.Timeout + s.plan.Grace)
 	ctx, release := context.WithTimeoutCause(ctx, limit, errLost)
@@ -52,7 +52,7 @@
 	response, err := s.roundTrip(ctx, a)
 	if err != nil {
 		r.end = s.now()
-		s.ended(ctx, r, FaultLost, err)
+		s.classifyEnd(ctx, r, FaultLost, err)
 		return r
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -63,13 +63,13 @@
 	return r
 }
 
-// roundTrip tries the targets in turn until one can be connected to. A request
-// that was sent, be it in part, is not sent again.
+// roundTrip tries the targets in turn until a connection succeeds. A request that
+// was sent, even in part, is not sent again.
 func (s *sender) roundTrip(ctx context.Context, a *arrival) (*http.Response, error) {
 	var last error
 	for i := range s.plan.Targets {
 		target := s.plan.Targets[(a.number+i)%len(s.plan.Targets)]
-		request, err := a.newRequest(ctx, target, s.run)
+		request, err := a.newRequest(ctx, target, s.runID)
 		if err != nil {
 			return nil, err
 		}
@@ -86,9 +86,10 @@
 	return nil, last
 }
 
-// ended classifies an answer that failed by the client's own doing or by its
-// connection: fault is what the latter means.
-func (s *sender) ended(ctx context.Context, r *result, fault Fault, err error) {
+// classifyEnd sets the outcome of a request that failed because the client
+// cancelled it or because its connection failed. A connection failure is
+// recorded as fault.
+func (s *sender) classifyEnd(ctx context.Context, r *result, fault Fault, err error) {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errCancelled):
@@ -104,7 +105,7 @@
 	}
 }
 
-// read reads an answer that has begun.
+// read reads and checks an answer whose headers have arrived.
 func (s *sender) read(ctx context.Context, r *result, response *http.Response) {
 	if response.Header.Get(headerCode) != "" {
 		s.readRefusal(r, response)
@@ -127,7 +128,7 @@
 		r.outcome = OutcomeBroken
 		return
 	}
-	s.ended(ctx, r, FaultCut, broken)
+	s.classifyEnd(ctx, r, FaultCut, broken)
 }
 
 // readBody returns an error if the answer broke off.
@@ -157,17 +158,18 @@
 	}
 }
 
-// wantsRetryAfter tells whether the same request may succeed later.
+// wantsRetryAfter reports whether the same request may succeed later.
 func wantsRetryAfter(c code.Code) bool {
 	return c >= code.DeadlineUnmet && c < code.OutcomeUnknown && c != code.DuplicateKey && c != code.Cancelled
 }
 
-// refusalSlack is the time that a refusal at the very deadline may take to
+// refusalSlack is the time that a refusal sent at the deadline may take to
 // arrive.
 const refusalSlack = 50 * time.Millisecond
 
-// checkRefusalTime counts from sending: the system can't answer for the time
-// before.
+// checkRefusalTime adds a fault if a refusal arrived too late. It measures from
+// the actual sending, because the system isn't responsible for delays of the
+// generator.
 func (s *sender) checkRefusalTime(r *result) {
 	limit := time.Duration(s.plan.RefusalLimit)
 	if limit == 0 {
@@ -178,7 +180,7 @@
 	}
 }
 
-// slowReadBytes is the most that a slow reader takes at once.
+// slowReadBytes is the maximum size of one read of a slow reader.
 const slowReadBytes = 512
 
 // slowReader pauses before each read.
--- a/internal/load/sse.go
+++ b/internal/load/sse.go
@@ -6,18 +6,18 @@
 	"io"
 )
 
-// maxEventBytes limits a line of an event stream.
+// maxEventBytes limits the length of a line of an event stream.
 const maxEventBytes = 1 << 20
 
 // event is a server-sent event.
 type event struct {
-	// Name is empty for a plain message.
+	// Name is empty if the event has no event field.
 	Name string
 	Data []byte
 }
 
-// eventReader reads the events of a text/event-stream, as the HTML standard
-// defines them, without ids and retry times.
+// eventReader reads the events of a text/event-stream as defined by the HTML
+// standard. It ignores the id and retry fields.
 type eventReader struct{ lines *bufio.Scanner }
 
 func newEventReader(r io.Reader) *eventReader {
@@ -26,9 +26,9 @@
 	return &eventReader{lines: lines}
 }
 
-// next returns the next event, or io.EOF at the end of the stream. An event
-// that the stream's end cuts off is discarded, as the standard asks. Data is
-// the caller's to keep.
+// next returns the next event, or io.EOF at the end of the stream. An incomplete
+// event at the end is discarded, as the standard requires. The caller may keep
+// Data.
 func (r *eventReader) next() (event, error) {
 	var e event
 	started := false
@@ -40,7 +40,7 @@
 			}
 			continue
 		}
-		started = e.field(line) || started
+		started = e.parseField(line) || started
 	}
 	if err := r.lines.Err(); err != nil {
 		return event{}, err
@@ -48,8 +48,8 @@
 	return event{}, io.EOF
 }
 
-// field takes a line and reports whether it belongs to an event.
-func (e *event) field(line []byte) bool {
+// parseField parses a line and reports whether it belongs to an event.
+func (e *event) parseField(line []byte) bool {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -10,33 +10,36 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Summary is the outcome of a run. The names of its JSON form are stable.
+// Summary is the result of a run. The field names of its JSON form are stable.
 type Summary struct {
 	RunID   string    `json:"run_id"`
 	Seed    uint64    `json:"seed"`
 	Started time.Time `json:"started"`
-	// ElapsedSeconds runs from the start to the end of the last request.
+	// ElapsedSeconds is the time from the start of the run to the end of the
+	// last request.
 	ElapsedSeconds float64  `json:"elapsed_seconds"`
 	Targets        []string `json:"targets"`
-	// Planned arrivals were drawn; Sent of them were sent.
+	// Planned is the number of arrivals drawn, Sent the number of them that
+	// were sent.
 	Planned int `json:"planned"`
 	Sent    int `json:"sent"`
-	// Bounds lists the bounds that took effect: if any did, the load was not
-	// the one planned.
+	// Bounds lists the limits that took effect. If there are any, the load
+	// differed from the planned one.
 	Bounds []Bound `json:"bounds"`
-	// SendLag is the time from the intended to the actual sending. It is the
-	// generator's own and part of all latencies.
+	// SendLag is the delay between the intended and the actual sending. It is
+	// caused by the generator and included in the latencies measured from the
+	// intended time.
 	SendLag Quantiles `json:"send_lag"`
-	// FaultCounts has an entry for each of Faults.
+	// FaultCounts has an entry for each kind in Faults, also if it is 0.
 	FaultCounts map[Fault]int `json:"faults"`
-	// UnclaimedDoubleRuns counts double runs that referees saw and that are
-	// not among this run's doubled requests.
+	// UnclaimedDoubleRuns counts the double runs reported by referees that are
+	// not repeated runs of this run's own requests.
 	UnclaimedDoubleRuns int `json:"unclaimed_double_runs"`
-	// Referees is nil if none was read.
+	// Referees is nil if no referee was read.
 	Referees *RefereeChange `json:"referees,omitempty"`
 	Phases   []PhaseSummary `json:"phases"`
 	Series   []Series       `json:"series"`
-	// Examples describe the first faults.
+	// Examples describes the first faults found.
 	Examples []Example `json:"examples"`
 	Timeline []Point   `json:"timeline"`
 }
@@ -48,20 +51,20 @@
 	Detail string `json:"detail"`
 }
 
-// PhaseSummary sums all classes up.
+// PhaseSummary is the sum over all classes in one phase.
 type PhaseSummary struct {
 	Phase           string  `json:"phase"`
 	Multiplier      float64 `json:"multiplier"`
 	DurationSeconds float64 `json:"duration_seconds"`
 	Sent            int     `json:"sent"`
 	SentPerSecond   float64 `json:"sent_per_second"`
-	// GoodputPerSecond counts right answers within their timeout, from the
-	// intended time.
+	// GoodputPerSecond is the rate of correct answers within their timeout,
+	// measured from the intended time.
 	GoodputPerSecond float64 `json:"goodput_per_second"`
 	TokensPerSecond  float64 `json:"tokens_per_second"`
 }
 
-// Series is what was measured of a class in a phase.
+// Series holds the measurements of one class in one phase.
 type Series struct {
 	Class            string          `json:"class"`
 	Phase            string          `json:"phase"`
@@ -69,17 +72,17 @@
 	GoodputPerSecond float64         `json:"goodput_per_second"`
 	Outcomes         map[Outcome]int `json:"outcomes"`
 	FaultCounts      map[Fault]int   `json:"faults"`
-	// FirstToken and Whole count from the intended time; Whole has the right
-	// answers only, FirstToken the streamed ones. The latencies of slow
-	// readers are left out: they would measure the plan's own pauses.
+	// FirstToken and Whole are measured from the intended time. Whole covers
+	// only correct answers, FirstToken only streamed ones. Slow readers are
+	// left out, because their latencies would measure the plan's own pauses.
 	FirstToken    Quantiles `json:"first_token"`
 	BetweenTokens Quantiles `json:"between_tokens"`
 	Whole         Quantiles `json:"whole"`
-	// Refusal counts from sending.
+	// Refusal is measured from the actual sending.
 	Refusal Quantiles `json:"refusal"`
 }
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles describes the distribution of a latency in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -99,20 +102,21 @@
 	Detail    string `json:"detail"`
 }
 
-// Point is what became of the arrivals of a stretch of time.
+// Point holds the results of the arrivals in one interval of the timeline.
 type Point struct {
-	// Seconds is the stretch's begin since the start.
+	// Seconds is the start of the interval, relative to the start of the run.
 	Seconds float64 `json:"seconds"`
 	Width   float64 `json:"width_seconds"`
 	OK      int     `json:"ok"`
 	Refused int     `json:"refused"`
 	Other   int     `json:"other"`
 	Faulty  int     `json:"faulty"`
-	// Whole has the right answers only.
+	// Whole covers only correct answers.
 	Whole Quantiles `json:"whole"`
 }
 
-// Faults returns the number of all that must never happen. Zero is the bar.
+// Faults returns the total number of faults, including unclaimed double runs and
+// memory violations. A run passes only if it is 0.
 func (s *Summary) Faults() int {
 	total := s.UnclaimedDoubleRuns
 	for _, count := range s.FaultCounts {
@@ -145,7 +149,8 @@
 
 func millis(micros int64) float64 { return float64(micros) / 1000 }
 
-// summary may be called once all requests have ended.
+// summary builds the Summary. It must not be called before all requests have
+// ended.
 func (r *runner) summary(change *RefereeChange, unclaimed int) *Summary {
 	rec := r.record
 	s := &Summary{
