--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -110,7 +110,7 @@
 	return u.startService()
 }
 
-func (u *up) standin(s *Server, err error) (*Server, error) {
+func (u *up) addStandin(s *Server, err error) (*Server, error) {
 	if err == nil {
 		u.standins = append(u.standins, s)
 	}
@@ -119,14 +119,14 @@
 
 func (u *up) startPlatform() (err error) {
 	kvServer := kv.New(kv.Options{WritesPerSecond: kvWritesPerSec, ReadsPerSecond: kvReadsPerSec})
-	if u.kv, err = u.standin(Serve(anyPort, kvServer, kvServer.Close)); err != nil {
+	if u.kv, err = u.addStandin(Serve(anyPort, kvServer, kvServer.Close)); err != nil {
 		return err
 	}
-	if u.store, err = u.standin(Serve(anyPort, store.New(store.Options{}), nil)); err != nil {
+	if u.store, err = u.addStandin(Serve(anyPort, store.New(store.Options{}), nil)); err != nil {
 		return err
 	}
 	u.hostList = hosts.New(hosts.Options{})
-	u.hosts, err = u.standin(Serve(anyPort, u.hostList, nil))
+	u.hosts, err = u.addStandin(Serve(anyPort, u.hostList, nil))
 	return err
 }
 
@@ -134,7 +134,7 @@
 	server := engine.New(engine.Options{
 		MemoryMiB: engineMemoryMiB, StoreURL: u.store.URL(), LoadFixed: engineLoadFixed,
 	})
-	backend, err := u.standin(Serve(anyPort, server, server.Close))
+	backend, err := u.addStandin(Serve(anyPort, server, server.Close))
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 
 func (u *up) startService() error {
 	server := service.New(service.Options{Instance: serviceName + "-1"})
-	backend, err := u.standin(Serve(anyPort, server, server.Close))
+	backend, err := u.addStandin(Serve(anyPort, server, server.Close))
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 
 func (u *up) startAgent(host string, backend settings.Backend) error {
 	s := settings.DefaultAgent()
-	u.common(&s.Common, settings.RoleAgent, host, netip.MustParseAddrPort(anyPort))
+	u.setCommon(&s.Common, settings.RoleAgent, host, netip.MustParseAddrPort(anyPort))
 	s.Peers.Listen = netip.MustParseAddrPort(anyPort)
 	s.Backend = backend
 	agent, err := daemon.NewAgent(s, u.opts.Log)
@@ -171,7 +171,7 @@
 
 func (u *up) entrySettings() *settings.Entry {
 	s := settings.DefaultEntry()
-	u.common(&s.Common, settings.RoleEntry, "entry-1", u.opts.Operators)
+	u.setCommon(&s.Common, settings.RoleEntry, "entry-1", u.opts.Operators)
 	s.Callers.Listen = u.opts.Callers
 	s.Callers.StopDelay = 0 // no balancer in front
 	s.KV.URL = u.kv.URL()
@@ -179,7 +179,7 @@
 	return s
 }
 
-func (u *up) common(c *settings.Common, role settings.Role, host string, operators netip.AddrPort) {
+func (u *up) setCommon(c *settings.Common, role settings.Role, host string, operators netip.AddrPort) {
 	c.Role, c.Host, c.Zone = role, core.HostID(host), "local-a"
 	c.Operators.Listen = operators
 	c.Hosts.URL = u.hosts.URL() + "/hosts"
@@ -197,7 +197,7 @@
 		result, err := operators.Apply(ctx, resources, client.ApplyOptions{})
 		if err == nil {
 			if u.awaitAvailable(ctx, operators, resources) {
-				u.greet(len(resources), result.Revision)
+				u.printAddresses(len(resources), result.Revision)
 			}
 			return nil
 		}
@@ -278,7 +278,7 @@
 	return resources, nil
 }
 
-func (u *up) greet(resources int, revision int64) {
+func (u *up) printAddresses(resources int, revision int64) {
 	callers, operators := u.entry.Addresses.Callers, u.entry.Addresses.Operators
 	out := u.opts.Out
 	fmt.Fprintf(out, "callers    http://%s\n", callers)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -135,11 +135,11 @@
 		if err != nil {
 			return
 		}
-		r.tasks.Go(func() { r.pass(dialler) })
+		r.tasks.Go(func() { r.forward(dialler) })
 	}
 }
 
-func (r *Relay) pass(dialler net.Conn) {
+func (r *Relay) forward(dialler net.Conn) {
 	target, err := r.dial()
 	if err != nil {
 		_ = dialler.Close()
@@ -179,7 +179,7 @@
 	buffer := make([]byte, copyBytes)
 	for {
 		n, err := from.Read(buffer)
-		if r.swallows(c, direction) {
+		if r.awaitPassage(c, direction) {
 			if err != nil {
 				return
 			}
@@ -198,7 +198,7 @@
 }
 
 // swallows waits until bytes may pass and reports whether the way is silent.
-func (r *Relay) swallows(c *conn, direction Direction) bool {
+func (r *Relay) awaitPassage(c *conn, direction Direction) bool {
 	r.mu.Lock()
 	for r.held[direction] && !r.closed {
 		r.changed.Wait()
