--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,8 +61,8 @@
 	return r, nil
 }
 
-// To returns a dial function for a fixed target, "IP:port".
-func To(target string) func() (net.Conn, error) {
+// DialTo returns a dial function for a fixed target, "IP:port".
+func DialTo(target string) func() (net.Conn, error) {
 	return func() (net.Conn, error) { return net.Dial("tcp", target) }
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	r, err = New("127.0.0.1:0", To(listener.Addr().String()))
+	r, err = New("127.0.0.1:0", DialTo(listener.Addr().String()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -87,7 +87,7 @@
 
 // link puts a relay at host:port in front of target.
 func (w *world) link(name, host string, port int, target string) {
-	r, err := relay.New(fmt.Sprintf("%s:%d", host, port), relay.To(target))
+	r, err := relay.New(fmt.Sprintf("%s:%d", host, port), relay.DialTo(target))
 	w.check(err)
 	w.links[name] = r
 }
--- a/internal/standin/admin/admin.go
+++ b/internal/standin/admin/admin.go
@@ -79,22 +79,22 @@
 	}
 }
 
-// Endpoints serves the report at GET path, and POST /admin/faults, which
-// replaces the faults in force.
-func Endpoints[R, F any](s *Server, path string, report func() R, setFaults func(F)) {
-	s.HandleFunc("GET "+path, Show(report))
+// RegisterEndpoints registers GET path, which serves the report, and POST
+// /admin/faults, which replaces the active faults.
+func RegisterEndpoints[R, F any](s *Server, path string, report func() R, setFaults func(F)) {
+	s.HandleFunc("GET "+path, JSONHandler(report))
 	s.HandleFunc("POST /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var faults F
 		if Decode(w, r, &faults) {
 			setFaults(faults)
-			Reply(w, http.StatusOK, faults)
+			WriteJSON(w, http.StatusOK, faults)
 		}
 	})
 }
 
-// Show answers with a value as it is at the time.
-func Show[R any](look func() R) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { Reply(w, http.StatusOK, look()) }
+// JSONHandler returns a handler that responds with the current value as JSON.
+func JSONHandler[R any](look func() R) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, look()) }
 }
 
 // Decode reads a body without unknown fields or answers that it is malformed.
@@ -108,8 +108,8 @@
 	return err == nil
 }
 
-// Reply answers with a JSON body, or without one if it is nil.
-func Reply(w http.ResponseWriter, status int, body any) {
+// WriteJSON writes a response with body as JSON, or with no body if it is nil.
+func WriteJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if body != nil {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -96,11 +96,11 @@
 		client: &http.Client{Transport: &http.Transport{}},
 	}
 	s.empty()
-	s.HandleFunc("GET "+api.PathInventory, s.answerable(admin.Show(s.inventory)))
+	s.HandleFunc("GET "+api.PathInventory, s.answerable(admin.JSONHandler(s.inventory)))
 	s.HandleFunc("POST "+api.PathOrders, s.order)
-	s.HandleFunc("GET "+api.PathLoad, s.answerable(admin.Show(s.load)))
+	s.HandleFunc("GET "+api.PathLoad, s.answerable(admin.JSONHandler(s.load)))
 	s.HandleFunc("POST "+api.PathCompletions, s.answerable(s.complete))
-	admin.Endpoints(s.Server, "/admin/referee", opts.Referee.Report, s.SetFaults)
+	admin.RegisterEndpoints(s.Server, "/admin/referee", opts.Referee.Report, s.SetFaults)
 	return s
 }
 
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -56,12 +56,12 @@
 	case reason != "":
 		refuse(w, reason)
 	default:
-		admin.Reply(w, http.StatusOK, struct{}{})
+		admin.WriteJSON(w, http.StatusOK, struct{}{})
 	}
 }
 
 func refuse(w http.ResponseWriter, reason api.Reason) {
-	admin.Reply(w, reason.Status(), api.Refusal{Reason: reason})
+	admin.WriteJSON(w, reason.Status(), api.Refusal{Reason: reason})
 }
 
 // admit checks the refuse fault and the fencing number. It returns the reason
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -90,7 +90,7 @@
 	s.HandleFunc("POST "+kv.PathCas, write(s, kv.OpCas, s.store.cas))
 	s.HandleFunc("POST "+kv.PathLease, write(s, kv.OpLease, s.store.grant))
 	s.HandleFunc("POST "+kv.PathKeepAlive, write(s, kv.OpKeepAlive, s.store.keepAlive))
-	admin.Endpoints(s.Server, "/admin/stats", s.Stats, s.SetFaults)
+	admin.RegisterEndpoints(s.Server, "/admin/stats", s.Stats, s.SetFaults)
 	return s
 }
 
@@ -163,7 +163,7 @@
 		s.store.expire(s.now())
 		out := look(r.URL.Query())
 		s.mu.Unlock()
-		admin.Reply(w, http.StatusOK, out)
+		admin.WriteJSON(w, http.StatusOK, out)
 	}
 }
 
@@ -186,7 +186,7 @@
 		if lost {
 			panic(http.ErrAbortHandler)
 		}
-		admin.Reply(w, status, out)
+		admin.WriteJSON(w, status, out)
 	}
 }
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -95,7 +95,7 @@
 func New(opts Options) *Server {
 	opts.Referee = cmp.Or(opts.Referee, NewReferee())
 	s := &Server{Server: admin.NewServer(), opts: opts}
-	admin.Endpoints(s.Server, "/admin/referee", opts.Referee.Report, s.SetFaults)
+	admin.RegisterEndpoints(s.Server, "/admin/referee", opts.Referee.Report, s.SetFaults)
 	s.HandleFunc("/", s.echo)
 	return s
 }
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -83,7 +83,7 @@
 		changed: make(chan struct{}),
 	}
 	s.HandleFunc("GET /checkpoints/{key}", s.checkpoint)
-	admin.Endpoints(s.Server, "/admin/referee", s.Report, s.SetFaults)
+	admin.RegisterEndpoints(s.Server, "/admin/referee", s.Report, s.SetFaults)
 	return s
 }
 
@@ -109,7 +109,7 @@
 	finished := s.transfer(r.Context(), size)
 	s.end(finished)
 	if finished {
-		admin.Reply(w, http.StatusOK, map[string]string{"key": r.PathValue("key")})
+		admin.WriteJSON(w, http.StatusOK, map[string]string{"key": r.PathValue("key")})
 	}
 }
 
