--- a/internal/engine/evict.go
+++ b/internal/engine/evict.go
@@ -11,41 +11,46 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Bounds of an eviction. The steward asks again after one that failed.
+// Limits of an eviction. The steward retries an eviction that failed.
 const (
-	// DefaultEvictLimit bounds one eviction, busy checkpoints included.
+	// DefaultEvictLimit is the time limit of one eviction, including the wait
+	// for busy checkpoints.
 	DefaultEvictLimit = 30 * time.Second
-	// evictPoll is the wait before a busy engine is asked again.
+	// evictPoll is the interval at which a busy engine is polled.
 	evictPoll = 200 * time.Millisecond
-	// maxEvictions is the number of evictions at once; more wait.
+	// maxEvictions is the number of concurrent evictions. Further ones wait.
 	maxEvictions = 32
 )
 
 // EvictorOptions configure an Evictor. Zero durations mean the defaults.
 type EvictorOptions struct {
-	// Now reads the monotonic clock. Required.
+	// Now returns the time of the monotonic clock. Required.
 	Now func() core.Time
-	// Limit bounds one eviction.
+	// Limit is the time limit of one eviction.
 	Limit time.Duration
 }
 
-// Evictor carries out Evict at the engines of other hosts and posts EvictDone.
-// Its methods are safe for concurrent use and do not block on an engine.
+// Evictor executes Evict effects on the engines of other hosts and posts
+// EvictDone. Its methods are safe for concurrent use and do not block on an
+// engine.
 //
-// Failure guarded: an agent is paused while its engine has a model loaded. Its
-// tenure ends and its slot moves; a second replica is loaded beside the first.
-// Guard: the engine itself is told to unload and asked afterwards. No load can
-// begin after its answer. The steward asks only once the tenure and
-// TenureMargin are over. A load order carries a NotAfter no later than the end
-// of the tenure, which is checked on the open connection with the write as the
-// next step (see orderBody), and an engine begins it at most OrderValidity
-// after the receipt. So the last load begins by the end of the tenure + clock
-// drift (0.9 s by default) + OrderValidity (2 s) + the way within the host,
-// which is less than TenureMargin (2 min). A load that is still going on is
-// Busy in the inventory. What remains is an agent that freezes between that
-// check and the write and wakes after the margin: an engine that checks
-// fencing numbers refuses its order if the eviction unloaded the same
-// checkpoint, another one obeys.
+// It guards against a second replica: an agent is paused while its engine has a
+// model loaded, its tenure ends, its slot moves, and the model is loaded on
+// another host as well. The Evictor therefore orders the engine itself to unload
+// the model and then reads its inventory. No load can begin after that
+// inventory, for these reasons. The steward requests the eviction only after the
+// tenure and TenureMargin have passed. A load order has a NotAfter no later than
+// the end of the tenure, which is checked on the open connection immediately
+// before the write (see orderBody), and an engine begins the load at most
+// OrderValidity after receiving the order. So the last load begins by the end of
+// the tenure + clock drift (0.9 s by default) + OrderValidity (2 s) + the latency
+// within the host, which is less than TenureMargin (2 min). A load in progress is
+// Busy in the inventory.
+//
+// The remaining case is an agent that is suspended between that check and the
+// write and resumes after the margin. An engine that checks fencing numbers
+// rejects its order if the eviction unloaded the same checkpoint; an engine that
+// doesn't check them executes it.
 type Evictor struct {
 	opts  EvictorOptions
 	post  func(core.Event)
@@ -68,7 +73,7 @@
 	return v
 }
 
-// Do starts an effect and reports whether it is one of this type's. Effects
+// Do starts an effect and reports whether the Evictor handles its type. Effects
 // after Close are dropped.
 func (v *Evictor) Do(effect core.Effect) bool {
 	order, ok := effect.(core.Evict)
@@ -83,7 +88,7 @@
 	return true
 }
 
-// Close breaks off all evictions and waits for them to end.
+// Close cancels all evictions and waits for them to end.
 func (v *Evictor) Close() {
 	v.mu.Lock()
 	v.closed = true
@@ -109,28 +114,29 @@
 	v.post(core.EvictDone{Tag: order.Tag, Code: e.run(ctx)})
 }
 
-// eviction is one order under way.
+// eviction is one eviction in progress.
 type eviction struct {
 	core.Evict
 	remote *Executor
-	// notAfter drops orders that a pause of this process held up.
+	// notAfter invalidates unload orders that were delayed by a pause of this
+	// process.
 	notAfter core.Time
 }
 
-// run unloads until an inventory shows nothing of the model.
+// run orders unloads until the inventory has no item of the model.
 func (e *eviction) run(ctx context.Context) code.Code {
 	for {
 		inventory, err := e.remote.fetchInventory()
 		if err != nil {
 			return code.EngineUnknown
 		}
-		held := e.held(inventory.Items)
+		held := e.modelItems(inventory.Items)
 		if len(held) == 0 {
 			return code.OK
 		}
 		for _, item := range held {
-			// Guard: a new process took the slot over and loaded the model
-			// while this eviction was under way; its copy is not to be cut.
+			// A new owner took over the slot and loaded the model during
+			// this eviction. Its copy must not be unloaded.
 			if item.Fence >= e.Fence {
 				return code.FencedOut
 			}
@@ -146,8 +152,8 @@
 	}
 }
 
-// held returns the items that are the model or adapters on it.
-func (e *eviction) held(items []core.LoadedItem) []core.LoadedItem {
+// modelItems returns the items that are the model or adapters of it.
+func (e *eviction) modelItems(items []core.LoadedItem) []core.LoadedItem {
 	var held []core.LoadedItem
 	for _, item := range items {
 		if strings.HasPrefix(cmp.Or(item.Base, item.Key), e.Model+"@") {
@@ -157,8 +163,8 @@
 	return held
 }
 
-// unload orders the unload of adapters, or of base models once no adapters
-// are left. It reports whether the engine carried all of it out.
+// unload orders the unload of the adapters, or of the base models if no adapters
+// are left. It reports whether the engine executed all orders.
 func (e *eviction) unload(held []core.LoadedItem) bool {
 	adapters := false
 	for _, item := range held {
--- a/internal/engine/evict_test.go
+++ b/internal/engine/evict_test.go
@@ -15,7 +15,7 @@
 	standin "nutmeglane.example/nutmeglane/internal/standin/engine"
 )
 
-// evict has the engine at a URL unload model "line" and returns the answer.
+// evict evicts the model "line" from the engine at a URL and returns the result.
 func evict(t *testing.T, url string, limit time.Duration, fence uint64) code.Code {
 	t.Helper()
 	done := make(chan core.Event, 1)
@@ -31,14 +31,14 @@
 			t.Fatalf("answer to %d", answer.Tag)
 		}
 		return answer.Code
-	case <-time.After(hangGuard):
+	case <-time.After(testTimeout):
 		t.Fatal("no answer")
 		return 0
 	}
 }
 
-// loadedEngine holds line@1 with an adapter, line@2, and another model whose
-// name begins alike, with an adapter named as the model.
+// loadedEngine returns an engine that holds line@1 with an adapter, line@2, and
+// another model with the same name prefix, which has an adapter called "line".
 func loadedEngine(t *testing.T) (*fixture, *standin.Server, string) {
 	server := newEngine()
 	var url string
@@ -64,9 +64,10 @@
 	return keys
 }
 
-// An agent is dead and its engine holds two versions of a model, and an
-// adapter. All of it goes, adapters first, and nothing of other models. An
-// order of the dead agent that comes late is refused by the fencing number.
+// The agent has failed and its engine holds two versions of a model and an
+// adapter. An eviction must unload all of them, adapters first, and nothing of
+// other models. A late order of the failed agent must be refused because of its
+// fencing number.
 func TestEvictUnloadsWholeModel(t *testing.T) {
 	f, _, url := loadedEngine(t)
 	if got := evict(t, url, 0, 5); got != code.OK {
@@ -80,9 +81,9 @@
 	}
 }
 
-// A new process took the slot over and loaded the model while the eviction for
-// the old one was on its way. Its replica must not be cut.
-func TestEvictSparesNewerOwner(t *testing.T) {
+// A new owner took over the slot and loaded the model while the eviction for the
+// old owner was in progress. The new replica must not be unloaded.
+func TestEvictKeepsNewerOwnersReplica(t *testing.T) {
 	f, _, url := loadedEngine(t)
 	if got := evict(t, url, 0, 4); got != code.FencedOut {
 		t.Fatalf("evict: %v", got)
@@ -92,9 +93,10 @@
 	}
 }
 
-// The dead agent's last load still runs when the engine is asked. "Nothing
-// loaded" must not be said until that load ended and was undone; an engine
-// that never gets done, hangs, refuses or is away proves nothing.
+// The last load of a failed agent is still in progress when the eviction starts.
+// The eviction must not succeed until that load has ended and was undone. An
+// engine that stays busy, hangs, refuses orders or is unreachable must make the
+// eviction fail.
 func TestEvictWaitsForBusy(t *testing.T) {
 	engineOf := &slowEngine{busy: 2, loaded: true}
 	server := httptest.NewServer(engineOf)
@@ -127,7 +129,7 @@
 	}
 }
 
-// slowEngine shows one model as busy in its first inventories.
+// slowEngine reports one model as busy in its first inventories.
 type slowEngine struct {
 	mu                         sync.Mutex
 	busy, inventories, unloads int
--- a/internal/engine/executor.go
+++ b/internal/engine/executor.go
@@ -1,6 +1,6 @@
-// Package engine is the agent's side towards the backend server beside it: a
+// Package engine is the agent's client for the backend server on its host: a
 // model engine, whose HTTP interface is documented in package engineapi, or a
-// plain service. The Executor carries out the reducer's effects TakeInventory,
+// plain service. The Executor executes the reducer's effects TakeInventory,
 // Order, Run, CancelRun and PauseRun and posts the events Inventory, OrderDone,
 // EngineLoad and RunProgress.
 package engine
@@ -28,27 +28,31 @@
 	DefaultMaxOrders        = 16
 )
 
-// dialTimeout bounds the connection set-up; the backend server is on this host.
+// dialTimeout limits connection setup. The backend server is on the same host.
 const dialTimeout = 2 * time.Second
 
 // Options configure an Executor. Zero durations and counts mean the defaults.
 type Options struct {
-	// URL is the backend server's base, "http://IP:port".
+	// URL is the backend server's base URL, "http://IP:port".
 	URL string
-	// Kind tells whether a model engine or a plain service answers there.
+	// Kind is the kind of the backend server: a model engine or a plain
+	// service.
 	Kind core.BackendKind
-	// Now reads the monotonic clock that Order.NotAfter refers to. Required.
+	// Now returns the time of the monotonic clock that Order.NotAfter refers
+	// to. Required.
 	Now func() core.Time
-	// OrderTimeout ends the wait for an order's answer; its effect is then
-	// unknown.
+	// OrderTimeout limits the wait for the answer to an order. After it, the
+	// effect of the order is unknown.
 	OrderTimeout time.Duration
-	// InventoryTimeout ends the wait for an inventory or a load report.
+	// InventoryTimeout limits the wait for an inventory or a load report.
 	InventoryTimeout time.Duration
-	// LoadInterval is the time between two load reports.
+	// LoadInterval is the interval at which load reports are fetched.
 	LoadInterval time.Duration
-	// MaxOrders is the number of orders at the engine at once; more wait.
+	// MaxOrders is the number of concurrent orders at the engine. Further ones
+	// wait.
 	MaxOrders int
-	// Log gets a line when load reports begin to fail or to work. Optional.
+	// Log receives a line when fetching load reports starts to fail or works
+	// again. Optional.
 	Log *slog.Logger
 }
 
@@ -72,8 +76,8 @@
 	return o
 }
 
-// Executor carries out effects towards one backend server. Its methods are
-// safe for concurrent use and do not block on the backend server.
+// Executor executes effects on one backend server. Its methods are safe for
+// concurrent use and do not block on the backend server.
 type Executor struct {
 	opts   Options
 	post   func(core.Event)
@@ -81,7 +85,7 @@
 	api    *sling.Sling
 	ctx    context.Context
 	stop   context.CancelCauseFunc
-	// orders holds one element per order at the engine.
+	// orders is a semaphore with one element per order at the engine.
 	orders chan struct{}
 	work   sync.WaitGroup
 
@@ -90,9 +94,9 @@
 	runs   map[core.AttemptID]*run
 }
 
-// New returns an Executor and, for a model engine, begins to fetch its load
-// reports. It calls post from its own goroutines, possibly several at once but
-// in order within a run; post may block for a while, but not for good.
+// New returns an Executor. For a model engine, it starts fetching load reports.
+// It calls post from its own goroutines, possibly concurrently, but in order
+// within a run. post may block, but not forever.
 func New(opts Options, post func(core.Event)) *Executor {
 	opts = opts.withDefaults()
 	client := newClient()
@@ -113,13 +117,14 @@
 	return e
 }
 
-// newClient returns a client that sends each request on a fresh connection.
+// newClient returns a client that sends each request on a new connection.
 //
-// Failure guarded: net/http itself repeats a request when a reused connection
-// breaks, if the method or an Idempotency-Key header makes it look repeatable;
-// a charge would run twice although this system sent it once. It never does so
-// on a fresh connection. A fresh connection also can't be one that went silent
-// while idle, and a failed dial proves that nothing was sent.
+// With reused connections, net/http retries a request on its own if the
+// connection breaks and the method or an Idempotency-Key header marks the request
+// as repeatable. A non-idempotent call would then run twice although this system
+// sent it once. net/http never retries on a new connection. Besides, a new
+// connection can't have become unresponsive while idle, and a failed dial proves
+// that nothing was sent.
 func newClient() *http.Client {
 	transport := &http.Transport{
 		DialContext:        (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -134,7 +139,7 @@
 	}
 }
 
-// Do starts an effect and reports whether it is one of this package's. Effects
+// Do starts an effect and reports whether the Executor handles its type. Effects
 // after Close are dropped.
 func (e *Executor) Do(effect core.Effect) bool {
 	switch effect := effect.(type) {
@@ -158,8 +163,8 @@
 	return true
 }
 
-// Close breaks off all work and waits for it to end. Runs still get their
-// FrameEnd. Nothing is posted after Close returns.
+// Close cancels all work and waits for it to end. Runs still post their FrameEnd.
+// Nothing is posted after Close returns.
 func (e *Executor) Close() {
 	e.mu.Lock()
 	e.closed = true
@@ -169,8 +174,8 @@
 	e.client.CloseIdleConnections()
 }
 
-// spawn runs a function in a goroutine that Close waits for. It reports false
-// after Close.
+// spawn runs a function in a goroutine that Close waits for. It returns false
+// after Close without running the function.
 func (e *Executor) spawn(f func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -187,7 +192,7 @@
 	return e.runs[id]
 }
 
-// takeInventory posts what the engine holds. A plain service holds nothing.
+// takeInventory posts the engine's inventory. That of a plain service is empty.
 func (e *Executor) takeInventory() {
 	if e.opts.Kind == core.BackendService {
 		e.post(core.Inventory{})
--- a/internal/engine/executor_test.go
+++ b/internal/engine/executor_test.go
@@ -27,12 +27,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// hangGuard ends a test that would wait for ever.
-const hangGuard = 30 * time.Second
+// testTimeout fails a test that waits for an event that never arrives.
+const testTimeout = 30 * time.Second
 
 const key = "line@1"
 
-// fixture is an Executor with its events and its settable clock.
+// fixture is an Executor with its posted events and a settable clock.
 type fixture struct {
 	*engine.Executor
 	t      *testing.T
@@ -78,7 +78,7 @@
 // await returns the next event of a type, skipping others.
 func await[E core.Event](f *fixture) E {
 	f.t.Helper()
-	guard := time.After(hangGuard)
+	guard := time.After(testTimeout)
 	for {
 		select {
 		case event := <-f.events:
@@ -87,7 +87,7 @@
 			}
 		case <-guard:
 			var zero E
-			f.t.Fatalf("no %T came", zero)
+			f.t.Fatalf("no %T arrived", zero)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-// answer is a run's frames put together.
+// answer is the combined content of a run's frames.
 type answer struct {
 	Head   *core.RunProgress
 	Tokens []string
@@ -165,7 +165,7 @@
 		Target:   core.Target{Model: "line"},
 		Key:      key,
 		Priority: api.PriorityInteractive,
-		Timeout:  hangGuard,
+		Timeout:  testTimeout,
 		Body:     fmt.Appendf(nil, `{"messages":[{"role":"user","content":"sink scratched"}],"max_tokens":%d}`, maxTokens),
 	}
 }
@@ -194,7 +194,7 @@
 		t.Errorf("unload: code %d", got)
 	}
 	if f.Do(core.Wake{}) {
-		t.Error("took an effect of another package")
+		t.Error("handled an effect of another package")
 	}
 }
 
@@ -215,9 +215,9 @@
 	}
 }
 
-// An agent decides to load, then its process is paused, or the order waits
-// behind others, until its validity is over. Sent now, it would load a slot
-// that another host has taken over. It must end as expired, unseen by the
+// After an agent decides to load, its process is paused or the order waits behind
+// others until its validity ends. If it were sent, it would load a slot that
+// another host has taken over. It must end as expired and must not reach the
 // engine.
 func TestOrderExpiresWhileQueued(t *testing.T) {
 	arrived, release := make(chan string, 8), make(chan struct{})
@@ -242,9 +242,9 @@
 	}
 }
 
-// As above, but the pause falls between the first look at the clock and the
-// write to the open connection. The engine may see that a request begins; it
-// must not get an order that it can read.
+// The order expires between the first check of the clock and the write to the
+// open connection. The engine may receive the start of a request, but no order
+// that it can decode.
 func TestOrderExpiresBeforeWrite(t *testing.T) {
 	arrived, release := make(chan string, 8), make(chan struct{})
 	close(release)
@@ -261,7 +261,7 @@
 	}
 }
 
-// orderServer tells of each whole order and answers it after release.
+// orderServer sends each complete order to arrived and answers it after release.
 func orderServer(arrived chan<- string, release <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var order engineapi.Order
@@ -273,9 +273,9 @@
 	})
 }
 
-// The engine loads, and its answer is lost with the connection. The model is
-// loaded, so the order must not be reported as without effect; the inventory
-// shows the truth.
+// The engine executes a load, but its answer is lost because the connection
+// breaks. The model is loaded, so the order must not be reported as without
+// effect. The inventory must list the model.
 func TestLostOrderAnswerIsUnknown(t *testing.T) {
 	s := newEngine()
 	f := start(t, s, nil)
@@ -289,9 +289,9 @@
 	}
 }
 
-// A caller asks a model that is not loaded, goes away, waits too long, or its
-// engine restarts in mid-stream. Each run must end once, with the code that
-// tells which; only the first may promise that it did not run.
+// Runs that end early: the model is not loaded, the caller cancels, the run times
+// out, or the engine restarts during the stream. Each run must end once, with the
+// matching code. Only the first may be reported as not run.
 func TestRunEnds(t *testing.T) {
 	s := newEngine()
 	f := start(t, s, nil)
@@ -300,7 +300,7 @@
 		t.Errorf("not loaded: %+v", a)
 	}
 	f.load()
-	const endless = 1000 // takes minutes when slowed down
+	const endless = 1000 // tokens; takes minutes when slowed down
 	s.SetFaults(standin.Faults{SlowTokens: 1e4})
 	run := completion(2, endless)
 	f.Do(run)
@@ -315,7 +315,7 @@
 	if got := f.end(); got != code.TimedOut {
 		t.Errorf("time-out: code %d", got)
 	}
-	// The engine restarts in mid-stream.
+	// The engine restarts during the stream.
 	f.Do(completion(4, endless))
 	await[core.RunProgress](f)
 	s.SetFaults(standin.Faults{Restart: true})
@@ -324,7 +324,7 @@
 	}
 }
 
-// end skips data frames.
+// end skips data frames and returns the code of the FrameEnd.
 func (f *fixture) end() code.Code {
 	f.t.Helper()
 	for {
@@ -334,10 +334,10 @@
 	}
 }
 
-// The engine's stream breaks off cleanly after a line, or skips a token. The
-// caller would take a cut answer for a whole one; the run must end as failed,
-// with the tokens before the fault delivered.
-func TestBrokenStreamIsNotWhole(t *testing.T) {
+// The engine's stream ends cleanly after a line before the answer is complete, or
+// skips a token. The caller would take a truncated answer as complete. The run
+// must end as failed, with the tokens before the fault delivered.
+func TestBrokenStreamFailsRun(t *testing.T) {
 	streams := map[string]string{
 		"cut":     `{"index":0,"text":"a"}` + "\n",
 		"skipped": `{"index":0,"text":"a"}` + "\n" + `{"index":2,"text":"c"}` + "\n" + `{"index":3,"done":true}`,
@@ -370,7 +370,7 @@
 	return core.Run{
 		Attempt: core.AttemptID{Request: core.RequestID{request}, Attempt: 1},
 		Target:  core.Target{Service: "akte"},
-		Timeout: hangGuard,
+		Timeout: testTimeout,
 		Method:  method,
 		Path:    "/flats/7?floor=2",
 		Header: []core.HeaderKV{
@@ -411,10 +411,10 @@
 	}
 }
 
-// A registration charge runs at the service, which dies before it answers. The
-// call carries an idempotency key, by which net/http sends it again on its own
-// when the connection was used before. It must run once and end as failed.
-func TestDyingServiceRunsChargeOnce(t *testing.T) {
+// A non-idempotent call runs at the service, which crashes before it answers. The
+// call has an idempotency key, because of which net/http would retry it on a
+// reused connection. It must run once and end as failed.
+func TestCrashingServiceRunsCallOnce(t *testing.T) {
 	s := service.New(service.Options{})
 	var dying atomic.Bool
 	f := startService(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -429,7 +429,7 @@
 	dying.Store(true)
 	run := call(2, http.MethodPost)
 	f.Do(run)
-	f.Do(run) // the same attempt again must change nothing
+	f.Do(run) // a repeated attempt must be ignored
 	if got := f.collect().Code; got != code.BackendFailed {
 		t.Errorf("code %d", got)
 	}
@@ -438,8 +438,8 @@
 	}
 }
 
-// The service dies in the midst of its answer. The part that came is passed on,
-// and the run must not end as whole.
+// The service crashes while it sends its answer. The part received is passed on,
+// and the run must not end as complete.
 func TestServiceDiesMidway(t *testing.T) {
 	s := service.New(service.Options{})
 	f := startService(t, s)
@@ -450,8 +450,8 @@
 	}
 }
 
-// The backend server's process is gone. Nothing was sent, so the caller may be
-// told truly that its request did not run.
+// The backend server's process is not running. Nothing was sent, so the request
+// must be reported as not run.
 func TestUnreachableBackendDidNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -467,8 +467,8 @@
 	}
 }
 
-// The agent's process is told to stop while the engine hangs. Close must end
-// the run, with its FrameEnd, and leave no goroutine.
+// The agent's process is stopped while the engine hangs. Close must end the run
+// with a FrameEnd and leave no goroutine.
 func TestCloseEndsHangingRun(t *testing.T) {
 	s := newEngine()
 	f := start(t, s, nil)
--- a/internal/engine/gate.go
+++ b/internal/engine/gate.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// gate holds a run's answer back while it is shut.
+// gate blocks the transfer of a run's answer while it is shut.
 type gate struct {
 	mu sync.Mutex
-	// open is closed while the gate is open.
+	// open is a channel that is closed while the gate is open.
 	open chan struct{}
 	shut bool
 }
@@ -31,7 +31,8 @@
 	g.shut = shut
 }
 
-// wait returns once the gate is open, or with the cause of the context's end.
+// wait waits until the gate is open. If the context ends first, it returns the
+// context's cause.
 func (g *gate) wait(ctx context.Context) error {
 	g.mu.Lock()
 	open := g.open
--- a/internal/engine/header.go
+++ b/internal/engine/header.go
@@ -9,29 +9,30 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// hopByHop are the fields that concern one connection only (RFC 9110, section
-// 7.6.1), and Expect, whose handshake the entry has already done.
+// hopByHop lists the hop-by-hop header fields (RFC 9110, section 7.6.1) and
+// Expect, whose handshake the entry has already completed.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect",
 }
 
-// ownFields are set for each request from the Run effect; a caller can't.
-var ownFields = []string{
+// reservedFields lists the fields that are set from the Run effect. The same
+// fields of a caller are dropped.
+var reservedFields = []string{
 	"Host", "Content-Length",
 	engineapi.HeaderRequestID, engineapi.HeaderAttempt, engineapi.HeaderKey,
 	engineapi.HeaderPriority, engineapi.HeaderResumeFrom,
 }
 
-// addEndToEnd adds a caller's fields but for hop-by-hop and own ones.
+// addEndToEnd adds a caller's fields except for hop-by-hop and reserved ones.
 func addEndToEnd(to http.Header, fields []core.HeaderKV) {
 	from := http.Header{}
 	for _, field := range fields {
 		from.Add(field.Name, field.Value)
 	}
 	removeHopByHop(from)
-	for _, name := range ownFields {
+	for _, name := range reservedFields {
 		from.Del(name)
 	}
 	for name, values := range from {
@@ -39,7 +40,8 @@
 	}
 }
 
-// endToEnd returns the fields of an answer but for hop-by-hop ones, by name.
+// endToEnd returns the fields of an answer except for hop-by-hop ones, sorted by
+// name.
 func endToEnd(header http.Header) []core.HeaderKV {
 	removeHopByHop(header)
 	var fields []core.HeaderKV
@@ -51,7 +53,8 @@
 	return fields
 }
 
-// removeHopByHop also removes the fields that Connection names.
+// removeHopByHop removes the hop-by-hop fields and the fields that Connection
+// lists.
 func removeHopByHop(header http.Header) {
 	names := slices.Clone(hopByHop)
 	for _, list := range header["Connection"] {
--- a/internal/engine/order.go
+++ b/internal/engine/order.go
@@ -14,10 +14,11 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// errExpired ends the sending of an order past its validity.
-var errExpired = errors.New("order is past its validity")
+// errExpired aborts the sending of an order whose validity has ended.
+var errExpired = errors.New("order has expired")
 
-// order sends an order once a place is free and posts its result.
+// order sends an order once fewer than MaxOrders are at the engine, and posts its
+// result.
 func (e *Executor) order(o core.Order) {
 	e.post(core.OrderDone{Order: o.ID, Code: e.queueOrder(o)})
 }
@@ -53,8 +54,8 @@
 	if body.expired.Load() {
 		return code.OrderExpired
 	}
-	// From here on the order may have taken effect unless the engine's own
-	// answer says otherwise: also an unreadable answer counts as lost.
+	// From here on, the order may have taken effect unless the engine's answer
+	// rules it out. An unreadable answer counts as a lost one.
 	if err != nil {
 		return code.EngineUnknown
 	}
@@ -85,15 +86,16 @@
 }
 
 // orderBody is the encoded order. It checks the order's validity when net/http
-// reads it, with the connection open and the next step the write.
+// reads it, which is after the connection is open and immediately before the
+// write.
 //
-// Failure guarded: the process is paused, or the order held up, between the
-// reducer's decision and the sending. Its tenure runs out meanwhile, another
-// host loads the slot, and the late order would load one replica too many. An
-// engine that ignores fencing numbers would obey. The check fails the read, so
-// the engine gets a request without its body, which it can't carry out. What
-// remains is a pause between this read and the write that follows it; the
-// tenure margin covers it.
+// It guards against a late order that loads one replica too many: the process is
+// paused, or the order delayed, between the reducer's decision and the sending,
+// its tenure ends in the meantime, and another host loads the slot. An engine
+// that ignores fencing numbers would execute the late order. If the order has
+// expired, the read fails and the engine gets a request without its body, which
+// it can't execute. A pause between this read and the following write remains
+// possible; the tenure margin covers it.
 type orderBody struct {
 	size     int64
 	data     *bytes.Reader
--- a/internal/engine/pause_test.go
+++ b/internal/engine/pause_test.go
@@ -12,11 +12,11 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// A caller reads slowly, and its run is paused. The agent must stop reading
-// instead of storing the answer without bound. Every goroutine blocked (which
-// synctest.Wait proves), the backend server has got rid of a small part only.
-// After the pause the whole answer comes.
-func TestPauseHoldsBackendBack(t *testing.T) {
+// A caller reads slowly, so its run is paused. The agent must stop reading from
+// the backend server instead of buffering the answer without limit. Once all
+// goroutines are blocked, which synctest.Wait ensures, the backend server must
+// have written only a small part. After the pause, the whole answer must follow.
+func TestPauseStopsReadingBackend(t *testing.T) {
 	const pieces, most = 1000, 2 * maxBatch
 	models := core.Target{Model: "line"}
 	services := core.Target{Service: "akte"}
--- a/internal/engine/report.go
+++ b/internal/engine/report.go
@@ -12,11 +12,12 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// maxPrefixes bounds the cached prefixes remembered. Events have gaps, so an
-// eviction may go unseen; newer prefixes then push the stale one out.
+// maxPrefixes limits the number of cached prefixes tracked. Cache events have
+// gaps, so an eviction may be missed. The limit makes newer prefixes displace
+// such stale ones.
 const maxPrefixes = 256
 
-// get reads a JSON document from the engine.
+// get fetches a JSON document from the engine.
 func (e *Executor) get(path string, into any) error {
 	ctx, cancel := context.WithTimeout(e.ctx, e.opts.InventoryTimeout)
 	defer cancel()
@@ -52,7 +53,8 @@
 	return inventory, nil
 }
 
-// coreRole takes a role that it does not know for draining: nothing is loaded.
+// coreRole converts a role. It treats an unknown role as draining, so that nothing
+// is loaded.
 func coreRole(role engineapi.Role) core.EngineRole {
 	if role == "" || role == engineapi.RoleServing {
 		return core.EngineServing
@@ -82,7 +84,7 @@
 		err := e.reportLoad(prefixes)
 		if e.ctx.Err() == nil && (err == nil) != working {
 			working = err == nil
-			e.opts.Log.Info("engine load reports changed", "working", working, "error", err)
+			e.opts.Log.Info("engine load report status changed", "working", working, "error", err)
 		}
 		select {
 		case <-ticker.C:
@@ -106,14 +108,14 @@
 	return nil
 }
 
-// prefixSet follows the engine's cached prefixes by its cache events.
+// prefixSet tracks the engine's cached prefixes from its cache events.
 type prefixSet struct {
 	epoch    uint64
 	sequence uint64
 	hashes   []uint64
 }
 
-// apply takes the events of a report that are newer than those already seen.
+// apply applies the events of a report that are newer than those already applied.
 func (p *prefixSet) apply(load engineapi.Load) {
 	if load.Epoch != p.epoch {
 		*p = prefixSet{epoch: load.Epoch}
--- a/internal/engine/role_test.go
+++ b/internal/engine/role_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// role returns the role and its fencing number as an inventory shows them.
+// role returns the role and its fencing number from an inventory.
 func (f *fixture) role() (core.EngineRole, uint64) {
 	f.t.Helper()
 	f.Do(core.TakeInventory{})
@@ -36,9 +36,10 @@
 	}
 }
 
-// An agent leaves in mid-stream and tells its engine to drain. The stream must
-// come whole; a new request is refused and may run elsewhere, as nothing of it
-// ran here; a load is refused, and the unload that the agent waits for is not.
+// An agent shuts down during a stream and orders its engine to drain. The stream
+// must complete. A new request must be refused as not run, so that it can run
+// elsewhere. A load must be refused, but the unload that the agent waits for must
+// succeed.
 func TestDrainingEngine(t *testing.T) {
 	const streamed = 500
 	s := newEngine()
@@ -85,9 +86,10 @@
 	f.load()
 }
 
-// A predecessor's order to drain was held up, and its successor has brought the
-// engine back meanwhile. An engine that checks numbers refuses the late order;
-// one that does not obeys it, and its inventory shows so.
+// An old agent process's order to drain is delayed, and its successor has set the
+// engine to serving in the meantime. An engine that checks fencing numbers must
+// refuse the late order. One that doesn't executes it, and its inventory must
+// show that.
 func TestLateRoleOrder(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		f := start(t, standin.New(standin.Options{TimeScale: 0.001, IgnoreFencing: ignore}), nil)
@@ -101,8 +103,8 @@
 	}
 }
 
-// An engine's process dies while draining: the new one serves, with nothing
-// loaded and no number seen.
+// An engine restarts while draining. The new process must be serving, with
+// nothing loaded and no fencing number stored.
 func TestRestartedEngineServes(t *testing.T) {
 	s := newEngine()
 	f := start(t, s, nil)
--- a/internal/engine/run.go
+++ b/internal/engine/run.go
@@ -15,19 +15,20 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// Causes for the end of a run.
+// Causes with which a run ends.
 var (
 	errCancelled = errors.New("run cancelled")
 	errTimedOut  = errors.New("run timed out")
 	errClosed    = errors.New("executor closed")
-	// errNotRun is the proof that the backend server did not run the request.
+	// errNotRun marks errors that prove that the backend server did not run
+	// the request.
 	errNotRun = errors.New("request did not run")
 )
 
-// maxChunk is the size of the largest piece of a service's answer, in bytes.
+// maxChunk is the maximum size in bytes of one chunk of a service's answer.
 const maxChunk = 32 << 10
 
-// run is one request at the backend server.
+// run is one request sent to the backend server.
 type run struct {
 	effect core.Run
 	exec   *Executor
@@ -36,9 +37,10 @@
 	gate   *gate
 }
 
-// startRun registers the run before it returns, so that a CancelRun or PauseRun
-// that follows at once finds it. A second Run with the same attempt is ignored:
-// it would run the request twice, and the first one posts the FrameEnd.
+// startRun starts a run. It registers the run before it returns, so that a
+// CancelRun or PauseRun that follows immediately finds it. A second Run with the
+// same attempt is ignored, because it would run the request twice; the first run
+// posts the FrameEnd.
 func (e *Executor) startRun(effect core.Run) {
 	ctx, cancel := context.WithCancelCause(e.ctx)
 	r := &run{effect: effect, exec: e, ctx: ctx, cancel: cancel, gate: newGate()}
@@ -52,7 +54,7 @@
 	e.work.Go(r.do)
 }
 
-// do runs the request to its FrameEnd.
+// do executes the request and posts its frames up to the FrameEnd.
 func (r *run) do() {
 	defer r.cancel(nil)
 	ctx, cancel := context.WithTimeoutCause(r.ctx, r.effect.Timeout, errTimedOut)
@@ -70,7 +72,7 @@
 	r.exec.post(progress)
 }
 
-// endCode tells how a run ended.
+// endCode returns the code for the end of a run.
 func endCode(ctx context.Context, err error) code.Code {
 	cause := context.Cause(ctx)
 	switch {
@@ -94,7 +96,7 @@
 	}
 	response, err := r.exec.client.Do(request)
 	if err != nil {
-		return markDial(err)
+		return markNotSent(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if r.effect.Target.Service != "" {
@@ -103,9 +105,9 @@
 	return r.copyTokens(ctx, response)
 }
 
-// markDial marks a failure to connect as errNotRun: each request has its own
+// markNotSent marks a connection failure as errNotRun. Each request has its own
 // connection (see newClient), so without one nothing was sent.
-func markDial(err error) error {
+func markNotSent(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.Mark(err, errNotRun)
@@ -127,14 +129,14 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
-	// An empty value keeps net/http from adding its own.
+	// An empty value keeps net/http from adding its default.
 	request.Header.Set("User-Agent", "")
 	addEndToEnd(request.Header, r.effect.Header)
-	r.setOwnHeader(request.Header)
+	r.setRequestHeader(request.Header)
 	return request, nil
 }
 
-func (r *run) setOwnHeader(header http.Header) {
+func (r *run) setRequestHeader(header http.Header) {
 	header.Set(engineapi.HeaderRequestID, r.effect.Attempt.Request.String())
 	header.Set(engineapi.HeaderAttempt, strconv.FormatUint(uint64(r.effect.Attempt.Attempt), 10))
 	header.Set(engineapi.HeaderPriority, string(r.effect.Priority))
@@ -146,8 +148,9 @@
 	header.Set("Content-Type", "application/json")
 }
 
-// copyService posts a service's answer in chunks. A paused run is not read, so
-// that at most one chunk and the socket buffers hold its answer.
+// copyService posts a service's answer in chunks. While the run is paused, the
+// answer is not read, so that at most one chunk and the socket buffers hold data
+// of it.
 func (r *run) copyService(ctx context.Context, response *http.Response) error {
 	head := core.RunProgress{Kind: core.FrameHead, Status: response.StatusCode}
 	head.Header = endToEnd(response.Header)
--- a/internal/engine/tokens.go
+++ b/internal/engine/tokens.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxBatch is the largest number of tokens in one frame, and of tokens
-	// read ahead of the frames posted.
+	// maxBatch limits the tokens in one frame and the tokens read ahead of the
+	// frames posted.
 	maxBatch = 64
-	// maxLine is the length of the longest token line, in bytes.
+	// maxLine is the maximum length of a token line in bytes.
 	maxLine = 1 << 20
-	// maxRefusal is the length of the longest refusal read, in bytes.
+	// maxRefusal is the maximum length of a refusal body in bytes.
 	maxRefusal = 1 << 16
 )
 
-// copyTokens posts a completion's answer.
+// copyTokens posts the answer of a completion.
 func (r *run) copyTokens(ctx context.Context, response *http.Response) error {
 	if response.StatusCode != http.StatusOK {
 		return refusalError(response)
@@ -36,8 +36,8 @@
 		defer close(tokens)
 		result <- readTokens(ctx, response.Body, r.effect.ResumeFrom, tokens)
 	}()
-	// The request's context ends both sides, so the reader never outlives
-	// this function.
+	// The request's context ends both goroutines, so the reader never
+	// outlives this function.
 	postErr := r.postTokens(ctx, tokens)
 	readErr := <-result
 	if postErr != nil {
@@ -60,11 +60,12 @@
 	return err
 }
 
-// readTokens reads token lines until the line that is marked Done.
+// readTokens reads token lines up to the line with Done set.
 //
-// Failure guarded: an engine that skips or repeats a token, or whose stream
-// breaks off cleanly at the end of a line. The caller would get a wrong or cut
-// answer as a whole one. Consecutive indexes and the Done line exclude it.
+// It guards against an engine that skips or repeats a token and against a stream
+// that ends cleanly at the end of a line before the answer is complete. The
+// caller would take a wrong or truncated answer as complete. The checks for
+// consecutive indexes and for the Done line detect both.
 func readTokens(ctx context.Context, body io.Reader, next uint64, tokens chan<- string) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLine)
@@ -89,13 +90,13 @@
 	if err := lines.Err(); err != nil {
 		return errors.Wrap(err, "read tokens")
 	}
-	return errors.New("answer ended without its last line")
+	return errors.New("answer ended without a Done line")
 }
 
-// postTokens posts all tokens that are available at a moment as one frame. It
-// ends when the channel is closed. While the run is paused it takes no more
-// than one token: the channel fills, the reader stops, and the socket's flow
-// control holds the engine back.
+// postTokens posts the tokens that are available at the same time as one frame.
+// It returns when the channel is closed. While the run is paused, it receives at
+// most one token: the channel fills, the reader blocks, and TCP flow control
+// throttles the engine.
 func (r *run) postTokens(ctx context.Context, tokens <-chan string) error {
 	for {
 		var token string
@@ -115,7 +116,8 @@
 	}
 }
 
-// coalesce returns a data frame with the token and those that wait behind it.
+// coalesce returns a data frame with the token and those already waiting in the
+// channel, up to maxBatch.
 func coalesce(token string, more <-chan string) core.RunProgress {
 	frame := core.RunProgress{Kind: core.FrameData}
 	for {
