--- a/internal/standin/admin/admin.go
+++ b/internal/standin/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is what the stand-ins have in common: the admin endpoints,
-// JSON bodies, waits that end with the server, and the counts of referees.
+// Package admin contains code shared by the stand-ins: admin endpoints, JSON
+// bodies, waits that end when the server closes, and the counters of referees.
 package admin
 
 import (
@@ -15,17 +15,18 @@
 )
 
 const (
-	// maxBodyBytes holds the largest KV value in base64, its key and the JSON.
+	// maxBodyBytes is large enough for the largest KV value in base64, its key
+	// and the JSON syntax.
 	maxBodyBytes = 1<<20*4/3 + 64<<10
-	// hangPoll is the interval of looking whether the hang fault is unset.
+	// hangPoll is the interval of checking whether the hang fault is unset.
 	hangPoll = 2 * time.Millisecond
 )
 
-// Server is the base of a stand-in: its routes, and an end that all its calls
-// notice. It starts no goroutine.
+// Server is the base of a stand-in. It holds the routes and cancels all calls when
+// it closes. It starts no goroutine.
 type Server struct {
 	*http.ServeMux
-	// Hang is the fault that holds calls up.
+	// Hang is the fault that blocks calls.
 	Hang atomic.Bool
 	ctx  context.Context
 	stop context.CancelFunc
@@ -38,8 +39,8 @@
 	return s
 }
 
-// ServeHTTP implements http.Handler. The context of a call ends with the
-// server too.
+// ServeHTTP implements http.Handler. The context of a call also ends when the
+// server closes.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -47,13 +48,14 @@
 	s.ServeMux.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// Close ends the contexts of all calls.
+// Close cancels the contexts of all calls.
 func (s *Server) Close() { s.stop() }
 
-// Context ends with Close only, for work that goes on without its caller.
+// Context returns a context that ends only with Close, for work that continues
+// after its caller has disconnected.
 func (s *Server) Context() context.Context { return s.ctx }
 
-// AwaitHang waits while the hang fault is set. It reports false if the context
+// AwaitHang waits while the hang fault is set. It returns false if the context
 // ends first.
 func (s *Server) AwaitHang(ctx context.Context) bool {
 	for s.Hang.Load() {
@@ -64,8 +66,8 @@
 	return true
 }
 
-// Sleep waits for a duration, or until wake is closed, and reports false if
-// the context ends first.
+// Sleep waits for a duration, or until wake is closed. It returns false if the
+// context ends first.
 func Sleep(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -97,7 +99,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, look()) }
 }
 
-// Decode reads a body without unknown fields or answers that it is malformed.
+// Decode decodes a JSON body. If the body is malformed or has unknown fields, it
+// responds with status 400 and returns false.
 func Decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -117,20 +120,21 @@
 	}
 }
 
-// RunID returns what referees count runs by: the idempotency key, or the
-// request id where there is none.
+// RunID returns the id under which referees count a run: the idempotency key, or
+// the request id if there is no key.
 func RunID(header http.Header) string {
 	return cmp.Or(header.Get("Idempotency-Key"), header.Get(engineapi.HeaderRequestID))
 }
 
-// Tally is a report that several servers count in. R is a plain struct that
-// JSON holds in full.
+// Tally is a set of counters that several servers can share. R is a plain struct
+// that survives JSON encoding without loss. Its methods are safe for concurrent
+// use.
 type Tally[R any] struct {
 	mu     sync.Mutex
 	counts R
 }
 
-// NewTally returns a tally that begins with the given counts.
+// NewTally returns a tally with the given initial counts.
 func NewTally[R any](counts R) *Tally[R] { return &Tally[R]{counts: counts} }
 
 // Report returns a copy of the counts, maps included.
@@ -142,7 +146,7 @@
 	return report
 }
 
-// Count changes the counts.
+// Count calls change with the counts while holding the lock.
 func (t *Tally[R]) Count(change func(*R)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is a small stand-in for a model engine, for tests and the
-// embedded default. It serves package engineapi's interface, takes the time
-// that loads and tokens would take, and counts what must never happen.
+// Package engine is a simulated model engine for tests and for `nutmeglane dev
+// up`. It serves the interface of package engineapi, simulates the duration of
+// loads and tokens, and counts violations, such as double runs.
 //
-// Besides it serves GET /admin/referee (Report) and POST /admin/faults (Faults).
+// It also serves GET /admin/referee (Report) and POST /admin/faults (Faults).
 package engine
 
 import (
@@ -21,22 +21,22 @@
 type Options struct {
 	// MemoryMiB is the accelerator memory. Default 24576.
 	MemoryMiB int64
-	// StoreURL is the weight store's base. Without it, remote checkpoints
-	// come at a set rate.
+	// StoreURL is the weight store's base URL. If it is empty, checkpoints are
+	// fetched at a fixed simulated rate.
 	StoreURL string
-	// LoadFixed is the part of a load's time that no size changes.
+	// LoadFixed is the part of the load time that does not depend on the size.
 	LoadFixed time.Duration
-	// TokensPerSecond is the rate of each stream. Default 40.
+	// TokensPerSecond is the token rate of each stream. Default 40.
 	TokensPerSecond float64
-	// MaxBatch is the number of completions run at once. Default 8.
+	// MaxBatch is the number of completions that run concurrently. Default 8.
 	MaxBatch int
-	// ReportLag is how far load report and cache events lag behind.
+	// ReportLag is the delay of load reports and cache events.
 	ReportLag time.Duration
-	// TimeScale multiplies all durations. Default 1.
+	// TimeScale is a factor for all durations. Default 1.
 	TimeScale float64
-	// IgnoreFencing makes the engine obey old fencing numbers.
+	// IgnoreFencing makes the engine accept orders with old fencing numbers.
 	IgnoreFencing bool
-	// Referee may be shared between engines. Default a new one.
+	// Referee may be shared between engines. Default: a new one.
 	Referee *Referee
 }
 
@@ -48,23 +48,23 @@
 	o.Referee = cmp.Or(o.Referee, NewReferee())
 }
 
-// item is a checkpoint that takes accelerator memory.
+// item is a checkpoint that occupies accelerator memory.
 type item struct {
 	api.Item
 	runs int
-	// ctx ends when the item is unloaded.
+	// ctx is cancelled when the item is unloaded.
 	ctx    context.Context
 	unload context.CancelFunc
 }
 
-// The lines for a place in the batch, the first in line first.
+// The queues for a place in the batch, the one with precedence first.
 const (
-	interactiveLine = iota
-	batchLine
-	lineCount
+	interactiveQueue = iota
+	batchQueue
+	queueCount
 )
 
-// Server is a running stand-in.
+// Server is a simulated model engine.
 type Server struct {
 	*admin.Server
 	opts   Options
@@ -77,44 +77,45 @@
 	items  map[string]*item
 	fences map[string]uint64
 	cached map[string]api.Tier
-	// inMemory lists the checkpoints cached in memory, oldest first.
+	// inMemory lists the checkpoints cached in host memory, oldest first.
 	inMemory []string
-	// running is the size of the batch; lines wait for a place in it.
+	// running is the current size of the batch. queues holds the runs that
+	// wait for a place in it.
 	running int
-	lines   [lineCount][]chan struct{}
-	// What the load report is made from, oldest first.
+	queues  [queueCount][]chan struct{}
+	// The data for load reports, oldest first.
 	changes  []change
 	prefixes []uint64
 	sequence uint64
 }
 
-// New returns a Server that holds nothing loaded.
+// New returns a Server with nothing loaded.
 func New(opts Options) *Server {
 	opts.setDefaults()
 	s := &Server{
 		Server: admin.NewServer(), opts: opts, cached: map[string]api.Tier{},
 		client: &http.Client{Transport: &http.Transport{}},
 	}
-	s.empty()
-	s.HandleFunc("GET "+api.PathInventory, s.answerable(admin.JSONHandler(s.inventory)))
+	s.reset()
+	s.HandleFunc("GET "+api.PathInventory, s.waitWhileHanging(admin.JSONHandler(s.inventory)))
 	s.HandleFunc("POST "+api.PathOrders, s.order)
-	s.HandleFunc("GET "+api.PathLoad, s.answerable(admin.JSONHandler(s.load)))
-	s.HandleFunc("POST "+api.PathCompletions, s.answerable(s.complete))
+	s.HandleFunc("GET "+api.PathLoad, s.waitWhileHanging(admin.JSONHandler(s.load)))
+	s.HandleFunc("POST "+api.PathCompletions, s.waitWhileHanging(s.complete))
 	admin.RegisterEndpoints(s.Server, "/admin/referee", opts.Referee.Report, s.SetFaults)
 	return s
 }
 
-// Referee returns the counts.
+// Referee returns the server's referee.
 func (s *Server) Referee() *Referee { return s.opts.Referee }
 
-// Close ends loads, runs and hanging requests.
+// Close cancels loads, runs and hanging requests.
 func (s *Server) Close() {
 	s.Server.Close()
 	s.client.CloseIdleConnections()
 }
 
-// answerable holds a request up while the engine hangs.
-func (s *Server) answerable(next http.HandlerFunc) http.HandlerFunc {
+// waitWhileHanging delays a request while the hang fault is set.
+func (s *Server) waitWhileHanging(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.AwaitHang(r.Context()) {
 			next(w, r)
@@ -122,9 +123,9 @@
 	}
 }
 
-// empty forgets all that a process of the engine holds. The caller holds mu,
-// or is New.
-func (s *Server) empty() {
+// reset clears all state of the engine's process, as a restart does. The caller
+// holds mu, or is New.
+func (s *Server) reset() {
 	for _, it := range s.items {
 		s.release(it)
 	}
@@ -138,7 +139,7 @@
 func (s *Server) release(it *item) {
 	delete(s.items, it.Key)
 	it.unload()
-	s.opts.Referee.drop(it.Key)
+	s.opts.Referee.countRelease(it.Key)
 }
 
 func (s *Server) scale(d time.Duration) time.Duration {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -22,7 +22,7 @@
 
 const key = "line@1"
 
-// endless is a number of tokens that takes minutes under slowed.
+// endless is a number of tokens that takes minutes with the faults of slowed.
 const endless = 1000
 
 var slowed = engine.Faults{SlowTokens: 1e4}
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestRefereeSeesForbiddenActs(t *testing.T) {
+func TestRefereeCountsViolations(t *testing.T) {
 	f := start(t, engine.Options{MemoryMiB: 100})
 	f.expect(http.StatusOK, load(key, 60, 2))
 	f.expect(http.StatusInsufficientStorage, load("other@1", 60, 1))
@@ -156,8 +156,7 @@
 	f.expect(http.StatusOK, engineapi.Order{Kind: engineapi.KindUnload, Key: key, Fence: 4})
 }
 
-// The engine fails in the midst of a load. Its memory must be free again, and
-// the next load must work.
+// A load fails. Its memory must be freed, and the next load must succeed.
 func TestFailedLoadFreesMemory(t *testing.T) {
 	f := start(t, engine.Options{MemoryMiB: 100})
 	f.SetFaults(engine.Faults{FailNextLoad: true})
@@ -165,8 +164,8 @@
 	f.expect(http.StatusOK, load(key, 100, 1))
 }
 
-// Two engines share a referee and load the same model: the referee must see
-// two copies, although each engine holds one.
+// Two engines share a referee and load the same model. The referee must count two
+// copies, although each engine has only one.
 func TestRefereeSharedByEngines(t *testing.T) {
 	referee := engine.NewReferee()
 	for range 2 {
@@ -177,8 +176,8 @@
 	}
 }
 
-// The weight store refuses a load above its rate. The engine must say so and
-// hold no memory; a cached checkpoint needs no store.
+// The weight store refuses a load above its rate limit. The engine must report
+// that and free the memory. A cached checkpoint must load without the store.
 func TestLoadThroughStore(t *testing.T) {
 	weights := store.New(store.Options{TimeScale: 0.001})
 	server := httptest.NewServer(weights)
@@ -242,8 +241,8 @@
 	}
 }
 
-// The engine unloads a model that still answers: the caller's answer is cut,
-// and the referee must say so.
+// The engine unloads a model with a run in progress. The answer is cut, and the
+// referee must count the run as cut.
 func TestUnloadCutsRun(t *testing.T) {
 	f := start(t, engine.Options{})
 	f.expect(http.StatusOK, load(key, 1, 1))
@@ -255,7 +254,7 @@
 	defer func() { _ = response.Body.Close() }()
 	f.expect(http.StatusOK, engineapi.Order{Kind: engineapi.KindUnload, Key: key, Fence: 1})
 	if _, err := io.Copy(io.Discard, response.Body); err == nil {
-		t.Error("stream ended as if whole")
+		t.Error("stream ended as if it were complete")
 	}
 	if got := f.Referee().Report().RunsCut; got != 1 {
 		t.Errorf("%d runs cut", got)
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -18,17 +18,16 @@
 	// memoryCached is the number of unloaded checkpoints kept in the host's
 	// memory.
 	memoryCached = 4
-	// roleSlot is what fences compare orders to change the role by: they have
-	// no key.
+	// roleSlot is the key in fences for orders that change the role. They have
+	// no checkpoint key.
 	roleSlot = ""
 )
 
-// rates are those of reading a checkpoint from a tier, in MiB a second; "" is
-// that of copying it to the disk without a weight store.
+// rates are the rates in MiB/s of reading a checkpoint from a tier. The key "" is
+// the rate of copying it to the disk if there is no weight store.
 var rates = map[api.Tier]float64{api.TierMemory: 20000, api.TierDisk: 2000, "": 500}
 
-// order carries an order out to its end, also when the client goes away
-// meanwhile.
+// order executes an order to its end, even if the client disconnects.
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	var o api.Order
@@ -48,10 +47,10 @@
 	defer s.mu.Unlock()
 	reason := s.admit(o)
 	if reason == "" {
-		reason = s.obey(o)
+		reason = s.execute(o)
 	}
 	switch {
-	case take(&s.faults.LoseNextAnswer):
+	case consume(&s.faults.LoseNextAnswer):
 		panic(http.ErrAbortHandler)
 	case reason != "":
 		refuse(w, reason)
@@ -64,8 +63,8 @@
 	admin.WriteJSON(w, reason.Status(), api.Refusal{Reason: reason})
 }
 
-// admit checks the refuse fault and the fencing number. It returns the reason
-// of a refusal, or "", as do the functions below. The caller holds mu.
+// admit checks the refuse fault and the fencing number. Like the functions below,
+// it returns the reason of a refusal, or "". The caller holds mu.
 func (s *Server) admit(o api.Order) api.Reason {
 	if s.faults.Refuse {
 		return api.ReasonRefused
@@ -79,8 +78,8 @@
 	return ""
 }
 
-// obey carries out an admitted order. It lets go of mu while it waits.
-func (s *Server) obey(o api.Order) api.Reason {
+// execute executes an admitted order. It releases mu while it waits.
+func (s *Server) execute(o api.Order) api.Reason {
 	switch o.Kind {
 	case api.KindLoad:
 		return s.loadItem(o)
@@ -116,9 +115,9 @@
 		s.opts.Referee.Count(func(r *Report) { r.MemoryViolations++ })
 		return api.ReasonNoMemory
 	}
-	it = s.hold(o)
+	it = s.reserve(o)
 	reason := s.readCheckpoint(o)
-	if take(&s.faults.FailNextLoad) || s.items[o.Key] != it { // or restarted
+	if consume(&s.faults.FailNextLoad) || s.items[o.Key] != it { // or restarted
 		reason = api.ReasonFailed
 	}
 	it.Busy = false
@@ -135,12 +134,12 @@
 	return sum
 }
 
-// hold takes the memory for a load that begins.
-func (s *Server) hold(o api.Order) *item {
+// reserve allocates the memory for a load that begins.
+func (s *Server) reserve(o api.Order) *item {
 	it := &item{Item: api.Item{Key: o.Key, Base: o.Base, MemoryMiB: o.MemoryMiB, Fence: o.Fence, Busy: true}}
 	it.ctx, it.unload = context.WithCancel(context.Background())
 	s.items[o.Key] = it
-	s.opts.Referee.hold(o.Key)
+	s.opts.Referee.countLoad(o.Key)
 	return it
 }
 
@@ -160,7 +159,8 @@
 	return ""
 }
 
-// cacheInMemory pushes the oldest checkpoint out to the disk.
+// cacheInMemory adds a checkpoint to the memory cache. If the cache is full, the
+// oldest checkpoint is demoted to the disk.
 func (s *Server) cacheInMemory(key string) {
 	s.inMemory = append(slices.DeleteFunc(s.inMemory, func(k string) bool { return k == key }), key)
 	s.cached[key] = api.TierMemory
@@ -178,7 +178,8 @@
 	return s.fetch(o)
 }
 
-// readCheckpoint takes the time of a load from the nearest tier.
+// readCheckpoint waits for the duration of a load from the fastest tier that has
+// the checkpoint.
 func (s *Server) readCheckpoint(o api.Order) api.Reason {
 	read := s.opts.LoadFixed
 	if tier := s.cached[o.Key]; tier != "" {
@@ -186,7 +187,7 @@
 	} else if reason := s.fetch(o); reason != "" {
 		return reason
 	}
-	if !s.spend(read) {
+	if !s.sleepScaled(read) {
 		return api.ReasonFailed
 	}
 	return ""
@@ -196,8 +197,9 @@
 	return time.Duration(float64(o.CheckpointMiB) / rates[tier] * float64(time.Second))
 }
 
-// spend waits for a scaled duration; false means that the engine closed.
-func (s *Server) spend(d time.Duration) bool {
+// sleepScaled waits for a duration multiplied by TimeScale. It returns false if
+// the engine is closed. It releases mu while it waits.
+func (s *Server) sleepScaled(d time.Duration) bool {
 	s.mu.Unlock()
 	defer s.mu.Lock()
 	return admin.Sleep(s.Context(), s.scale(d), nil)
@@ -205,7 +207,7 @@
 
 // fetch copies a checkpoint from the weight store to the disk.
 func (s *Server) fetch(o api.Order) api.Reason {
-	if s.opts.StoreURL == "" && !s.spend(transferTime(o, "")) {
+	if s.opts.StoreURL == "" && !s.sleepScaled(transferTime(o, "")) {
 		return api.ReasonStoreFailed
 	}
 	if s.opts.StoreURL != "" && !s.fetchFromStore(o) {
--- a/internal/standin/engine/referee.go
+++ b/internal/standin/engine/referee.go
@@ -2,37 +2,38 @@
 
 import "nutmeglane.example/nutmeglane/internal/standin/admin"
 
-// Report is what a Referee has counted since the start.
+// Report holds the counts of a Referee since its creation.
 type Report struct {
 	Loads      int `json:"loads"`
 	Unloads    int `json:"unloads"`
 	Prefetches int `json:"prefetches"`
 	// MemoryViolations counts loads that would overcommit the accelerator.
 	MemoryViolations int `json:"memoryViolations"`
-	// Fenced counts orders refused for an old fencing number.
+	// Fenced counts orders refused because of an old fencing number.
 	Fenced int `json:"fenced"`
-	// DoubleRuns counts second and further runs of a request marked
+	// DoubleRuns counts the runs beyond the first of requests marked as
 	// non-idempotent.
 	DoubleRuns int `json:"doubleRuns"`
-	// RunsCut counts runs broken off by an unload of their checkpoint.
+	// RunsCut counts runs aborted by an unload of their checkpoint.
 	RunsCut int `json:"runsCut"`
-	// Runs counts by idempotency key, or request id where there is none.
-	// A run resumed from a later token is not counted.
+	// Runs counts runs by idempotency key, or by request id if there is no
+	// key. Runs resumed from a later token are not counted.
 	Runs map[string]int `json:"runs"`
-	// MaxLoaded is the largest number of copies held at once, by key, from
-	// the beginning of the load to the end of the unload.
+	// MaxLoaded is the maximum number of copies loaded at the same time, by
+	// key. A copy counts from the start of its load to the end of its unload.
 	MaxLoaded map[string]int `json:"maxLoaded"`
 }
 
-// Referee counts what engines do. Engines of one process may share it, so that
-// it sees copies and runs across them.
+// Referee counts the actions of engines. Engines in one process may share it, so
+// that it counts copies and runs across all of them.
 type Referee struct {
 	*admin.Tally[Report]
-	// loaded counts the copies held; it is used within Count only.
+	// loaded is the current number of copies by key. It is accessed only within
+	// Count.
 	loaded map[string]int
 }
 
-// NewReferee returns a Referee with nothing counted.
+// NewReferee returns a Referee with all counts at zero.
 func NewReferee() *Referee {
 	return &Referee{
 		Tally:  admin.NewTally(Report{Runs: map[string]int{}, MaxLoaded: map[string]int{}}),
@@ -40,7 +41,7 @@
 	}
 }
 
-func (r *Referee) hold(key string) {
+func (r *Referee) countLoad(key string) {
 	r.Count(func(report *Report) {
 		report.Loads++
 		r.loaded[key]++
@@ -48,11 +49,11 @@
 	})
 }
 
-func (r *Referee) drop(key string) {
+func (r *Referee) countRelease(key string) {
 	r.Count(func(*Report) { r.loaded[key]-- })
 }
 
-func (r *Referee) run(id string, nonIdempotent bool) {
+func (r *Referee) countRun(id string, nonIdempotent bool) {
 	r.Count(func(report *Report) {
 		report.Runs[id]++
 		if nonIdempotent && report.Runs[id] > 1 {
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -10,28 +10,29 @@
 const (
 	// prefixCapacity is the number of prompt prefixes cached.
 	prefixCapacity = 64
-	// changesKept is the number of changes that load reports are made from.
-	changesKept = 512
-	// gapEvery is the interval of sequence numbers that are never reported.
-	gapEvery = 7
+	// maxChanges is the number of changes kept for load reports.
+	maxChanges = 512
+	// lostEventInterval is the interval of sequence numbers whose events are
+	// never reported.
+	lostEventInterval = 7
 )
 
-// change is the batch from a moment on, and the cache event of that moment, if
-// there was one.
+// change is the state of the batch from a time on, and the cache event at that
+// time, if there was one.
 type change struct {
 	at              time.Time
 	running, queued int
 	event           api.CacheEvent
 }
 
-// note keeps a change for the load report. The caller holds mu.
-func (s *Server) note(event api.CacheEvent) {
+// recordChange stores a change for the load report. The caller holds mu.
+func (s *Server) recordChange(event api.CacheEvent) {
 	c := change{at: time.Now(), running: s.running, event: event}
-	for _, line := range s.lines {
-		c.queued += len(line)
+	for _, queue := range s.queues {
+		c.queued += len(queue)
 	}
 	s.changes = append(s.changes, c)
-	s.changes = s.changes[max(0, len(s.changes)-changesKept):]
+	s.changes = s.changes[max(0, len(s.changes)-maxChanges):]
 }
 
 func (s *Server) cachePrefix(prefix uint64) {
@@ -39,22 +40,23 @@
 		return
 	}
 	s.prefixes = append(s.prefixes, prefix)
-	s.noteCached(prefix, false)
+	s.recordCacheEvent(prefix, false)
 	if len(s.prefixes) > prefixCapacity {
-		s.noteCached(s.prefixes[0], true)
+		s.recordCacheEvent(s.prefixes[0], true)
 		s.prefixes = s.prefixes[1:]
 	}
 }
 
-// noteCached leaves out each event whose number is a multiple of gapEvery.
-func (s *Server) noteCached(prefix uint64, evicted bool) {
+// recordCacheEvent stores a cache event for the load report. It drops each event
+// whose sequence number is a multiple of lostEventInterval.
+func (s *Server) recordCacheEvent(prefix uint64, evicted bool) {
 	s.sequence++
-	if s.sequence%gapEvery != 0 {
-		s.note(api.CacheEvent{Sequence: s.sequence, Prefix: prefix, Evicted: evicted})
+	if s.sequence%lostEventInterval != 0 {
+		s.recordChange(api.CacheEvent{Sequence: s.sequence, Prefix: prefix, Evicted: evicted})
 	}
 }
 
-// load returns the state of ReportLag ago.
+// load returns the load report as of ReportLag ago.
 func (s *Server) load() api.Load {
 	horizon := time.Now().Add(-s.scale(s.opts.ReportLag))
 	s.mu.Lock()
@@ -72,19 +74,20 @@
 	return report
 }
 
-// Faults are the settable faults. A POST to /admin/faults replaces them all.
+// Faults are the faults to inject. A POST to /admin/faults replaces all of them.
 type Faults struct {
-	// FailNextLoad lets the next load fail after its time.
+	// FailNextLoad makes the next load fail at the end of its duration.
 	FailNextLoad bool `json:"failNextLoad,omitempty"`
-	// LoseNextAnswer cuts the connection after the next order took effect.
+	// LoseNextAnswer closes the connection after the next order has taken
+	// effect.
 	LoseNextAnswer bool `json:"loseNextAnswer,omitempty"`
-	// Hang holds up all requests, and streams in their midst, until unset.
+	// Hang blocks all requests, including streams in progress, until unset.
 	Hang bool `json:"hang,omitempty"`
-	// Refuse refuses all orders until it is unset.
+	// Refuse makes the engine refuse all orders until unset.
 	Refuse bool `json:"refuse,omitempty"`
-	// SlowTokens multiplies the time between tokens when over 1.
+	// SlowTokens is a factor for the time between tokens if greater than 1.
 	SlowTokens float64 `json:"slowTokens,omitempty"`
-	// Restart drops all that is loaded, once.
+	// Restart unloads everything, once, as a restart of the engine does.
 	Restart bool `json:"restart,omitempty"`
 }
 
@@ -95,12 +98,12 @@
 	s.faults = faults
 	s.Hang.Store(faults.Hang)
 	if faults.Restart {
-		s.empty()
+		s.reset()
 	}
 }
 
-// take reports and unsets a fault that happens once. The caller holds mu.
-func take(fault *bool) bool {
+// consume returns and unsets a one-time fault. The caller holds mu.
+func consume(fault *bool) bool {
 	was := *fault
 	*fault = false
 	return was
--- a/internal/standin/engine/role_test.go
+++ b/internal/standin/engine/role_test.go
@@ -14,9 +14,9 @@
 	return engineapi.Order{Kind: engineapi.KindRole, Role: role, Fence: fence}
 }
 
-// A request waits in the engine's queue when the engine is told to drain. It
-// was taken on before, so it must run; the next one is refused as not run.
-func TestDrainingKeepsWhatWaits(t *testing.T) {
+// A request is queued when the engine is ordered to drain. It was accepted
+// before, so it must run. The next request must be refused as not run.
+func TestDrainingRunsQueuedRequest(t *testing.T) {
 	f := start(t, engine.Options{MaxBatch: 1})
 	f.expect(http.StatusOK, load(key, 1, 1))
 	f.SetFaults(slowed)
@@ -50,7 +50,7 @@
 	cancel()
 	_ = first.Body.Close()
 	if status := <-waiting; status != http.StatusOK {
-		t.Errorf("status %d for the one that waited", status)
+		t.Errorf("status %d for the queued request", status)
 	}
 	if runs := f.Referee().Report().Runs; runs["late"] != 0 || runs["waits"] != 1 {
 		t.Errorf("runs %v", runs)
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -17,20 +17,21 @@
 	"nutmeglane.example/nutmeglane/internal/standin/admin"
 )
 
-// DefaultMaxTokens is the answer's length where the body names none.
+// DefaultMaxTokens is the number of tokens in an answer if the body sets none.
 const DefaultMaxTokens = 32
 
-// words are the vocabulary of answers.
-var words = strings.Fields("wall floor window door sink kite wind beach permit line clean scratch note key")
+// vocabulary is the list of words used in answers.
+var vocabulary = strings.Fields("wall floor window door sink kite wind beach permit line clean scratch note key")
 
-// Answer returns the tokens that each stand-in engine answers a prompt with on
-// a checkpoint. Fewer maxTokens give a beginning of the longer answer.
+// Answer returns the tokens of the answer to a prompt for a checkpoint key. It is
+// the same for all stand-in engines. A smaller maxTokens gives a prefix of the
+// longer answer.
 func Answer(key, prompt string, maxTokens int) []string {
 	seed := xxhash.Sum64String(key + "\x00" + prompt)
 	tokens := make([]string, maxTokens)
 	for i := range tokens {
 		hash := xxhash.Sum64String(strconv.FormatUint(seed, 16) + "/" + strconv.Itoa(i))
-		tokens[i] = words[hash%uint64(len(words))] + strconv.FormatUint(hash>>32%1000, 10) + " "
+		tokens[i] = vocabulary[hash%uint64(len(vocabulary))] + strconv.FormatUint(hash>>32%1000, 10) + " "
 	}
 	return tokens
 }
@@ -45,7 +46,7 @@
 	MaxCompletionTokens int `json:"max_completion_tokens"`
 }
 
-// prompt is the plain one, if any, before that of the messages.
+// prompt returns the prompt field, if any, followed by the messages.
 func (c completion) prompt() string {
 	var contents []json.RawMessage
 	for _, message := range c.Messages {
@@ -68,32 +69,32 @@
 		refuse(w, api.ReasonBadRequest)
 		return
 	}
-	turn := s.queue(apitypes.Priority(r.Header.Get(api.HeaderPriority)))
+	turn := s.enqueue(apitypes.Priority(r.Header.Get(api.HeaderPriority)))
 	if turn == nil {
 		refuse(w, api.ReasonDraining)
 		return
 	}
-	if !s.enter(r.Context(), turn) {
+	if !s.awaitTurn(r.Context(), turn) {
 		return
 	}
 	key := r.Header.Get(api.HeaderKey)
 	it := s.startRun(key, body.prompt())
-	defer s.leave(it)
+	defer s.finishRun(it)
 	if it == nil {
 		refuse(w, api.ReasonNotLoaded)
 		return
 	}
 	if from == 0 {
-		s.opts.Referee.run(admin.RunID(r.Header), r.Header.Get(api.HeaderNonIdempotent) == "true")
+		s.opts.Referee.countRun(admin.RunID(r.Header), r.Header.Get(api.HeaderNonIdempotent) == "true")
 	}
 	w.Header().Set("Content-Type", api.ContentTypeStream)
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(it.ctx, cancel)()
-	s.emit(ctx, w, Answer(key, body.prompt(), body.length()), from)
+	s.streamTokens(ctx, w, Answer(key, body.prompt(), body.length()), from)
 }
 
-// startRun returns nil when the checkpoint is not loaded.
+// startRun returns the item of the checkpoint, or nil if it is not loaded.
 func (s *Server) startRun(key, prompt string) *item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,10 +107,10 @@
 	return it
 }
 
-// emit streams tokens at the set rate. Tokens due at the same moment go out
-// together. The end of the context breaks the stream off: the checkpoint is
-// unloaded, or the client or the server goes away.
-func (s *Server) emit(ctx context.Context, w http.ResponseWriter, tokens []string, from int) {
+// streamTokens streams tokens at the configured rate. Tokens due at the same time
+// are sent together. It aborts the connection when the context ends: the
+// checkpoint is unloaded, the client disconnects or the server closes.
+func (s *Server) streamTokens(ctx context.Context, w http.ResponseWriter, tokens []string, from int) {
 	encoder := json.NewEncoder(w)
 	flush := http.NewResponseController(w).Flush
 	_ = flush()
@@ -137,70 +138,72 @@
 	return max(interval, time.Microsecond)
 }
 
-// queue takes a run on. The channel returned is closed when its turn comes; it
-// is nil if the engine drains.
-func (s *Server) queue(priority apitypes.Priority) chan struct{} {
+// enqueue accepts a run. The returned channel is closed when the run may start.
+// It is nil if the engine is draining.
+func (s *Server) enqueue(priority apitypes.Priority) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.role == api.RoleDraining {
 		return nil
 	}
 	turn := make(chan struct{})
-	line := interactiveLine
+	queue := interactiveQueue
 	if priority == apitypes.PriorityBatch {
-		line = batchLine
+		queue = batchQueue
 	}
 	if s.running < s.opts.MaxBatch {
 		s.running++
 		close(turn)
 	} else {
-		s.lines[line] = append(s.lines[line], turn)
+		s.queues[queue] = append(s.queues[queue], turn)
 	}
-	s.note(api.CacheEvent{})
+	s.recordChange(api.CacheEvent{})
 	return turn
 }
 
-// enter waits for the turn; false means that the client went away.
-func (s *Server) enter(ctx context.Context, turn chan struct{}) bool {
+// awaitTurn waits until the run may start. It returns false if the client
+// disconnects first.
+func (s *Server) awaitTurn(ctx context.Context, turn chan struct{}) bool {
 	select {
 	case <-turn:
 		return true
 	case <-ctx.Done():
 	}
-	if !s.quit(turn) { // the turn came meanwhile
-		s.leave(nil)
+	if !s.dequeue(turn) { // the run got its place concurrently
+		s.finishRun(nil)
 	}
 	return false
 }
 
-// quit takes a run out of its line, or reports false if it is in none.
-func (s *Server) quit(turn chan struct{}) bool {
+// dequeue removes a run from its queue. It returns false if the run isn't queued.
+func (s *Server) dequeue(turn chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, line := range s.lines {
-		if place := slices.Index(line, turn); place >= 0 {
-			s.lines[i] = slices.Delete(line, place, place+1)
+	for i, queue := range s.queues {
+		if place := slices.Index(queue, turn); place >= 0 {
+			s.queues[i] = slices.Delete(queue, place, place+1)
 			return true
 		}
 	}
 	return false
 }
 
-// leave ends a run, if there was one, and hands its place to the next in line.
-func (s *Server) leave(it *item) {
+// finishRun ends a run, if it is not nil, and gives its place to the next queued
+// run.
+func (s *Server) finishRun(it *item) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if it != nil {
 		it.runs--
 	}
 	s.running--
-	for i, line := range s.lines {
-		if len(line) > 0 {
-			close(line[0])
-			s.lines[i] = line[1:]
+	for i, queue := range s.queues {
+		if len(queue) > 0 {
+			close(queue[0])
+			s.queues[i] = queue[1:]
 			s.running++
 			break
 		}
 	}
-	s.note(api.CacheEvent{})
+	s.recordChange(api.CacheEvent{})
 }
--- a/internal/standin/hosts/hosts.go
+++ b/internal/standin/hosts/hosts.go
@@ -1,8 +1,8 @@
-// Package hosts is a small stand-in for the platform's list of hosts, which
-// lags behind reality.
+// Package hosts is a simulated host list of the platform. The list served is
+// delayed by a configurable lag.
 //
-//	GET    /hosts             one core.Host as JSON a line, as of the lag ago
-//	POST   /admin/hosts       adds or replaces the core.Host of the body
+//	GET    /hosts             the delayed list, one core.Host as JSON per line
+//	POST   /admin/hosts       adds or replaces the core.Host in the body
 //	POST   /admin/leaving?id= marks a host as leaving
 //	DELETE /admin/hosts?id=   removes a host
 package hosts
@@ -24,35 +24,35 @@
 
 // Options are the settings of a Server.
 type Options struct {
-	// Lag is the age of the list that is served.
+	// Lag is the delay of the list served.
 	Lag time.Duration
-	// Hosts are there from the beginning, also for the lagging list.
+	// Hosts are the initial hosts. They are in the delayed list from the start.
 	Hosts []core.Host
-	// Now is the clock of the lag; time.Now if nil.
+	// Now is the clock for the lag. Default: time.Now.
 	Now func() time.Time
 }
 
 type hostMap map[core.HostID]core.Host
 
-// version is the list as it was from a time on.
+// version is the list in effect from a time on.
 type version struct {
 	from  time.Time
 	hosts hostMap
 }
 
-// Server is the stand-in.
+// Server is a simulated host list.
 type Server struct {
 	*admin.Server
 	lag time.Duration
 	now func() time.Time
 
 	mu sync.Mutex
-	// versions are in order of time; the first is in force for the lagging
-	// list, or is the initial one.
+	// versions are ordered by time. The first is the one last served by
+	// laggedHosts, or the initial one.
 	versions []version
 }
 
-// New returns a list with the initial hosts.
+// New returns a Server with the initial hosts.
 func New(opts Options) *Server {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -72,7 +72,7 @@
 // Put adds or replaces a host.
 func (s *Server) Put(h core.Host) { s.change(func(hosts hostMap) { hosts[h.ID] = h }) }
 
-// SetLeaving marks a host as leaving; it returns false if there is none.
+// SetLeaving marks a host as leaving. It returns false if the host doesn't exist.
 func (s *Server) SetLeaving(id core.HostID) (found bool) {
 	s.change(func(hosts hostMap) {
 		var h core.Host
@@ -84,7 +84,7 @@
 	return found
 }
 
-// Remove removes a host.
+// Remove removes a host if it exists.
 func (s *Server) Remove(id core.HostID) { s.change(func(hosts hostMap) { delete(hosts, id) }) }
 
 func (s *Server) change(apply func(hostMap)) {
@@ -96,8 +96,8 @@
 	s.versions = append(s.versions, next)
 }
 
-// lagging returns the list as of the lag ago and forgets the older ones.
-func (s *Server) lagging() hostMap {
+// laggedHosts returns the list as of the lag ago and drops older versions.
+func (s *Server) laggedHosts() hostMap {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	asOf := s.now().Add(-s.lag)
@@ -108,7 +108,7 @@
 }
 
 func (s *Server) serveHosts(w http.ResponseWriter, r *http.Request) {
-	hosts := s.lagging()
+	hosts := s.laggedHosts()
 	var body bytes.Buffer
 	lines := json.NewEncoder(&body)
 	for _, id := range core.SortedKeys(hosts) {
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -1,11 +1,11 @@
-// Package kv is a small stand-in for the platform's key-value service: in
-// memory, with its limits, a call counter, and faults on demand. The protocol
-// is documented at package internal/kv.
+// Package kv is a simulated key-value service of the platform. It keeps its data
+// in memory, applies the service's limits, counts calls and injects faults. The
+// protocol is documented in package internal/kv.
 //
-// Besides it serves
+// It also serves
 //
 //	GET  /admin/stats   Stats
-//	POST /admin/faults  Faults, which replace those in force
+//	POST /admin/faults  Faults, which replace the active ones
 package kv
 
 import (
@@ -24,45 +24,46 @@
 )
 
 const (
-	// maxWait bounds a long poll.
+	// maxWait limits the duration of a long poll.
 	maxWait = 60 * time.Second
-	// minPoll keeps a watch from spinning over a lease about to expire.
+	// minPoll prevents a watch from busy-waiting for a lease about to expire.
 	minPoll = time.Millisecond
 )
 
-// Options are the settings of a Server; zero fields mean no limit and the
-// system clock.
+// Options configure a Server. Zero fields mean no limit and the system clock.
 type Options struct {
 	// WritesPerSecond and ReadsPerSecond are the rate limits.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// Now is the clock that leases expire by.
+	// Now is the clock for the expiry of leases.
 	Now func() time.Time
 }
 
-// Faults are the faults in force.
+// Faults are the faults to inject.
 type Faults struct {
-	// Down answers 503 and breaks waiting watches.
+	// Down makes the service answer calls with status 503 and aborts waiting
+	// watches.
 	Down bool `json:"down"`
-	// DelayMillis passes before a call takes effect, also after the caller
-	// gave it up.
+	// DelayMillis is the delay in milliseconds before a call takes effect,
+	// even if its caller has disconnected.
 	DelayMillis int64 `json:"delay_ms"`
-	// LoseWriteAnswers is the number of writes to come that take effect while
-	// the connection breaks instead of an answer.
+	// LoseWriteAnswers is the number of next writes that take effect but whose
+	// connection is aborted in place of an answer.
 	LoseWriteAnswers int `json:"lose_write_answers"`
-	// CompactNow forgets the history of changes, once.
+	// CompactNow drops the history of changes, once.
 	CompactNow bool `json:"compact_now"`
 }
 
 // Stats counts calls by kind.
 type Stats struct {
 	Calls map[kv.Op]int64 `json:"calls"`
-	// Refused are calls over the rate limits or while down, also in Calls.
+	// Refused counts the calls refused because of the rate limits or the Down
+	// fault. They are included in Calls.
 	Refused  map[kv.Op]int64 `json:"refused"`
 	Revision int64           `json:"revision"`
 }
 
-// Server is the stand-in.
+// Server is a simulated key-value service.
 type Server struct {
 	*admin.Server
 	now           func() time.Time
@@ -74,7 +75,7 @@
 	faults Faults
 }
 
-// New returns an empty store.
+// New returns a Server with no keys.
 func New(opts Options) *Server {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -94,7 +95,7 @@
 	return s
 }
 
-// limiter allows one second's calls as a burst.
+// limiter returns a rate limiter whose burst is the calls of one second.
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -102,8 +103,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Expire ends the leases that are over by the clock. Calls and waiting watches
-// do so too; a test that moved its clock need not wait for them.
+// Expire removes the expired leases. Calls and waiting watches do so too. With
+// Expire, a test that has advanced its clock doesn't have to wait for them.
 func (s *Server) Expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 	return stats
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,11 +129,12 @@
 		f.CompactNow = false
 	}
 	s.faults = f
-	s.store.wake()
+	s.store.notifyWatches()
 }
 
-// admit counts a call and lets it pass, delayed as the fault says, or answers
-// its refusal. A server that closes meanwhile breaks the connection.
+// admit counts a call. It returns true after the injected delay, or answers with
+// a refusal and returns false. If the server closes during the delay, the
+// connection is aborted.
 func (s *Server) admit(w http.ResponseWriter, op kv.Op, limit *rate.Limiter) bool {
 	s.mu.Lock()
 	faults := s.faults
@@ -153,7 +155,7 @@
 	return false
 }
 
-// read serves a call that only looks at the store.
+// read returns a handler for a call that only reads the store.
 func (s *Server) read(op kv.Op, look func(url.Values) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !s.admit(w, op, s.reads) {
@@ -167,7 +169,8 @@
 	}
 }
 
-// write serves a call that changes the store: apply returns status and answer.
+// write returns a handler for a call that changes the store. apply returns the
+// status and the answer.
 func write[Q any](s *Server, op kv.Op, apply func(Q, time.Time) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var req Q
@@ -194,8 +197,8 @@
 	query := r.URL.Query()
 	after, errAfter := strconv.ParseInt(query.Get("after"), 10, 64)
 	wait, errWait := strconv.Atoi(query.Get("wait_ms"))
-	beat, errBeat := strconv.Atoi(query.Get("heartbeat_ms"))
-	if errAfter != nil || errWait != nil || errBeat != nil || beat <= 0 {
+	heartbeat, errBeat := strconv.Atoi(query.Get("heartbeat_ms"))
+	if errAfter != nil || errWait != nil || errBeat != nil || heartbeat <= 0 {
 		http.Error(w, "malformed watch", http.StatusBadRequest)
 		return
 	}
@@ -206,7 +209,7 @@
 	defer end()
 	flush := http.NewResponseController(w).Flush
 	for {
-		batch, changed, pause := s.poll(query.Get("prefix"), after, time.Duration(beat)*time.Millisecond)
+		batch, changed, pause := s.poll(query.Get("prefix"), after, time.Duration(heartbeat)*time.Millisecond)
 		if batch.Compacted || len(batch.Changes) > 0 || ctx.Err() != nil {
 			_ = json.NewEncoder(w).Encode(batch)
 			return
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -9,7 +9,7 @@
 	"nutmeglane.example/nutmeglane/internal/kv"
 )
 
-// maxHistory is the number of changes that watches can resume from.
+// maxHistory is the number of changes kept, from which watches can resume.
 const maxHistory = 256
 
 type entry struct {
@@ -78,7 +78,7 @@
 	return http.StatusOK, req
 }
 
-// expire ends the leases that are over and deletes the keys bound to them.
+// expire removes the expired leases and deletes the keys bound to them.
 func (s *store) expire(now time.Time) {
 	for _, id := range core.SortedKeys(s.leases) {
 		if !now.Before(s.leases[id].expires) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// untilExpiry is the time until the next lease is over, at most limit.
+// untilExpiry returns the time until the next lease expires, at most limit.
 func (s *store) untilExpiry(now time.Time, limit time.Duration) time.Duration {
 	for _, l := range s.leases {
 		limit = min(limit, l.expires.Sub(now))
@@ -109,16 +109,16 @@
 	s.revision = c.Revision
 	s.history = append(s.history, c)
 	s.compact(maxHistory)
-	s.wake()
+	s.notifyWatches()
 }
 
-// wake lets the waiting watches look again.
-func (s *store) wake() {
+// notifyWatches makes the waiting watches poll again.
+func (s *store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// compact forgets all but the newest changes.
+// compact drops all but the newest changes.
 func (s *store) compact(keep int) {
 	for len(s.history) > keep {
 		s.compacted = s.history[0].Revision
@@ -136,8 +136,8 @@
 	return snapshot
 }
 
-// since returns the changes after a revision. A revision that is yet to come
-// was given by another store, so that it counts as compacted.
+// since returns the changes after a revision. A revision above the current one
+// was issued by another store and counts as compacted.
 func (s *store) since(prefix string, after int64) kv.Batch {
 	batch := kv.Batch{Revision: s.revision}
 	if after < s.compacted || after > s.revision {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,7 +1,7 @@
-// Package service is a small stand-in for a plain service, for tests and the
-// embedded default. It answers each call with an Echo of it as JSON.
+// Package service is a simulated plain service for tests and for `nutmeglane dev
+// up`. It answers each call with an Echo of the call as JSON.
 //
-// Besides it serves GET /admin/referee (Report) and POST /admin/faults (Faults).
+// It also serves GET /admin/referee (Report) and POST /admin/faults (Faults).
 package service
 
 import (
@@ -19,12 +19,12 @@
 	"nutmeglane.example/nutmeglane/internal/standin/admin"
 )
 
-// maxBody is the size of the largest body echoed, in bytes.
+// maxBody is the maximum size of a body in bytes.
 const maxBody = 16 << 20
 
-// Echo is the answer to a call.
+// Echo is the answer to a call. It describes the call as received.
 type Echo struct {
-	// Instance names the server that ran the call.
+	// Instance is the name of the server that ran the call.
 	Instance string      `json:"instance"`
 	Method   string      `json:"method"`
 	Path     string      `json:"path"`
@@ -33,21 +33,22 @@
 	Body     string      `json:"body"`
 }
 
-// Report is what a Referee has counted since the start.
+// Report holds the counts of a Referee since its creation.
 type Report struct {
 	Calls int `json:"calls"`
-	// ByID counts by idempotency key, or request id where there is none.
+	// ByID counts calls by idempotency key, or by request id if there is no
+	// key.
 	ByID map[string]int `json:"byID"`
-	// ByPath counts by path without the query.
+	// ByPath counts calls by path without the query.
 	ByPath map[string]int `json:"byPath"`
-	// DoubleRuns counts second and further runs of a non-idempotent call.
+	// DoubleRuns counts the runs beyond the first of non-idempotent calls.
 	DoubleRuns int `json:"doubleRuns"`
 }
 
-// Referee counts calls. Servers of one process may share it.
+// Referee counts calls. Servers in one process may share it.
 type Referee = admin.Tally[Report]
 
-// NewReferee returns a Referee with nothing counted.
+// NewReferee returns a Referee with all counts at zero.
 func NewReferee() *Referee {
 	return admin.NewTally(Report{ByID: map[string]int{}, ByPath: map[string]int{}})
 }
@@ -63,26 +64,27 @@
 
 // Options configure a Server.
 type Options struct {
-	// Instance is echoed.
+	// Instance is the name returned in Echo.Instance.
 	Instance string
-	// NonIdempotentPaths are prefixes of paths whose calls may run once only,
-	// as are all POST and PATCH calls.
+	// NonIdempotentPaths are prefixes of paths whose calls may run only once.
+	// The same applies to all POST and PATCH calls.
 	NonIdempotentPaths []string
-	// Referee may be shared between servers. Default a new one.
+	// Referee may be shared between servers. Default: a new one.
 	Referee *Referee
 }
 
-// Faults are the settable faults. A POST to /admin/faults replaces them all.
+// Faults are the faults to inject. A POST to /admin/faults replaces all of them.
 type Faults struct {
-	// DieMidway breaks the next answer off in its midst, after the call ran.
+	// DieMidway aborts the connection in the middle of the next answer, after
+	// the call has run.
 	DieMidway bool `json:"dieMidway,omitempty"`
-	// SlowMillis is waited before each answer.
+	// SlowMillis is the delay before each answer in milliseconds.
 	SlowMillis int `json:"slowMillis,omitempty"`
-	// Hang holds up all answers, after their calls ran, until it is unset.
+	// Hang blocks all answers, after their calls have run, until unset.
 	Hang bool `json:"hang,omitempty"`
 }
 
-// Server is a running stand-in.
+// Server is a simulated plain service.
 type Server struct {
 	*admin.Server
 	opts Options
@@ -100,7 +102,7 @@
 	return s
 }
 
-// Referee returns the counts.
+// Referee returns the server's referee.
 func (s *Server) Referee() *Referee { return s.opts.Referee }
 
 // SetFaults replaces the faults.
@@ -146,8 +148,9 @@
 	return declared || r.Method == http.MethodPost || r.Method == http.MethodPatch
 }
 
-// delay waits as the faults say and reports whether to die midway. It breaks
-// the connection when the client or the server goes away.
+// delay waits for the injected delays and returns whether to abort the answer in
+// the middle. It aborts the connection if the client disconnects or the server
+// closes.
 func (s *Server) delay(ctx context.Context) (die bool) {
 	s.mu.Lock()
 	faults := s.faults
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -19,10 +19,10 @@
 	s.ServeHTTP(httptest.NewRecorder(), request)
 }
 
-// A charge is sent twice, with the same request id or, from two entries, with
-// the same idempotency key. The referee must count each as a double run; reads
-// may be repeated.
-func TestRefereeSeesDoubleRuns(t *testing.T) {
+// A non-idempotent call is sent twice, with the same request id or, through two
+// entries, with the same idempotency key. The referee must count each repetition
+// as a double run. Reads may be repeated.
+func TestRefereeCountsDoubleRuns(t *testing.T) {
 	s := service.New(service.Options{NonIdempotentPaths: []string{"/once/"}})
 	call(s, http.MethodPost, "/rolls", "r1", "")
 	call(s, http.MethodPost, "/rolls", "r1", "")
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,7 +1,7 @@
-// Package store is a small stand-in for the weight store, for tests and the
-// embedded default.
+// Package store is a simulated weight store for tests and for `nutmeglane dev
+// up`.
 //
-//	GET  /checkpoints/{key}?sizeMiB=N  answers once N MiB would have been sent;
+//	GET  /checkpoints/{key}?sizeMiB=N  answers after the time to send N MiB;
 //	                                   429 with Retry-After above the rate
 //	GET  /admin/referee                Report
 //	POST /admin/faults                 Faults
@@ -22,39 +22,39 @@
 
 // Options configure a Server. Zero values mean the defaults given.
 type Options struct {
-	// LoadsPerSecond is the rate limit of loads, in scaled seconds. Default 5.
+	// LoadsPerSecond is the rate limit of loads per scaled second. Default 5.
 	LoadsPerSecond float64
-	// Lanes is the number of loads at full speed at once; more share the
-	// bandwidth of that many. Default 4.
+	// Lanes is the number of concurrent loads at full speed. If there are more,
+	// they share the bandwidth of that many. Default 4.
 	Lanes int
-	// LaneMiBPerSecond is the full speed of one load. Default 500.
+	// LaneMiBPerSecond is the full speed of one load in MiB/s. Default 500.
 	LaneMiBPerSecond float64
-	// TimeScale multiplies all durations. Default 1.
+	// TimeScale is a factor for all durations. Default 1.
 	TimeScale float64
 }
 
-// Report is what the store has counted since the start.
+// Report holds the counts of the store since its creation.
 type Report struct {
-	// Loads counts those begun, Finished those sent whole.
+	// Loads counts the loads started, Finished those sent completely.
 	Loads    int `json:"loads"`
 	Finished int `json:"finished"`
-	// Refusals counts loads refused above the rate.
+	// Refusals counts loads refused because of the rate limit.
 	Refusals int `json:"refusals"`
-	// MaxConcurrent is the largest number of loads at once.
+	// MaxConcurrent is the maximum number of concurrent loads.
 	MaxConcurrent int `json:"maxConcurrent"`
-	// ByKey counts the loads begun of each checkpoint.
+	// ByKey counts the loads started by checkpoint key.
 	ByKey map[string]int `json:"byKey"`
 }
 
-// Faults are the settable faults. A POST to /admin/faults replaces them all.
+// Faults are the faults to inject. A POST to /admin/faults replaces all of them.
 type Faults struct {
-	// Slow divides the bandwidth when over 1.
+	// Slow is a divisor of the bandwidth if greater than 1.
 	Slow float64 `json:"slow,omitempty"`
-	// Down answers each load with 503.
+	// Down makes the store answer each load with status 503.
 	Down bool `json:"down,omitempty"`
 }
 
-// Server is a running stand-in.
+// Server is a simulated weight store.
 type Server struct {
 	*admin.Server
 	*admin.Tally[Report]
@@ -92,7 +92,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	s.announce()
+	s.notifyTransfers()
 }
 
 func (s *Server) checkpoint(w http.ResponseWriter, r *http.Request) {
@@ -129,7 +129,7 @@
 		r.ByKey[key]++
 		r.MaxConcurrent = max(r.MaxConcurrent, s.active)
 	})
-	s.announce()
+	s.notifyTransfers()
 	return http.StatusOK
 }
 
@@ -140,16 +140,18 @@
 	if finished {
 		s.Count(func(r *Report) { r.Finished++ })
 	}
-	s.announce()
+	s.notifyTransfers()
 }
 
-// announce wakes the transfers. The caller holds mu.
-func (s *Server) announce() {
+// notifyTransfers makes the transfers in progress read their speed again. The
+// caller holds mu.
+func (s *Server) notifyTransfers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// speed returns one load's present MiB/s and the channel of its next change.
+// speed returns the current speed of one load in MiB/s and a channel that is
+// closed at its next change.
 func (s *Server) speed() (float64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,8 +160,8 @@
 	return perSecond / s.opts.TimeScale, s.changed
 }
 
-// transfer takes the time of sending size MiB and reports false when the
-// client goes away.
+// transfer waits for the time to send size MiB. It returns false if the client
+// disconnects first.
 func (s *Server) transfer(ctx context.Context, size float64) bool {
 	for size > 0 {
 		speed, changed := s.speed()
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -11,7 +11,8 @@
 	"nutmeglane.example/nutmeglane/internal/standin/store"
 )
 
-// get returns the status of a load, which an ended context breaks off.
+// get requests a load and returns its status. The load is cancelled when the
+// context ends.
 func get(ctx context.Context, s *store.Server, key, size string) int {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodGet, "/checkpoints/"+key+"?sizeMiB="+size, nil)
@@ -19,8 +20,8 @@
 	return recorder.Code
 }
 
-// More loads arrive in a second than the store allows: those above the rate
-// are refused and told when to come back, and the referee counts them.
+// More loads arrive in a second than the store allows. Those above the rate limit
+// must be refused with status 429, and the store must count them.
 func TestRateLimit(t *testing.T) {
 	s := store.New(store.Options{LoadsPerSecond: 2, TimeScale: 1e6})
 	got := []int{}
