--- a/internal/dev/standin.go
+++ b/internal/dev/standin.go
@@ -1,5 +1,5 @@
-// Package dev runs the stand-ins of outside systems and, for a first look, the
-// whole system on loopback in one process.
+// Package dev runs stand-ins for external systems and, for trying out the system,
+// a complete deployment on loopback in one process.
 package dev
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// shutdownTime bounds the end of a stand-in.
+// shutdownTime limits the graceful shutdown of a stand-in.
 const shutdownTime = 3 * time.Second
 
-// Server is a stand-in behind a listener on loopback.
+// Server is the HTTP server of a stand-in.
 type Server struct {
 	listener net.Listener
 	server   *http.Server
@@ -22,8 +22,8 @@
 	close    func()
 }
 
-// Serve starts a handler at an address, "IP:port". close, which may be nil,
-// runs before the listener ends, so that waiting calls return.
+// Serve starts serving a handler at an address, "IP:port". close, which may be
+// nil, is called before the server shuts down, so that waiting calls return.
 func Serve(address string, handler http.Handler, close func()) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,7 +45,7 @@
 // URL returns the base URL.
 func (s *Server) URL() string { return "http://" + s.Address() }
 
-// Close ends the stand-in.
+// Close shuts the stand-in down.
 func (s *Server) Close() {
 	if s.close != nil {
 		s.close()
@@ -57,7 +57,8 @@
 	}
 }
 
-// Wait returns when ctx ends (nil) or the listener fails.
+// Wait waits until ctx ends, then closes the stand-in and returns nil. If the
+// listener fails first, it returns the error.
 func (s *Server) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/internal/dev/up.go
+++ b/internal/dev/up.go
@@ -35,8 +35,8 @@
 	kvReadsPerSec   = 2000
 	anyPort         = "127.0.0.1:0"
 	serviceName     = "akte"
-	// applyRetry is the pause between tries to apply the declarations while
-	// the entry starts.
+	// applyRetry is the pause between attempts to apply the declarations, and
+	// between checks of their status, while the entry starts.
 	applyRetry = 50 * time.Millisecond
 )
 
@@ -44,14 +44,14 @@
 type UpOptions struct {
 	// Callers and Operators are the entry's listeners.
 	Callers, Operators netip.AddrPort
-	// Record is a file for the entry's recorded run; empty for none.
+	// Record is the file for the entry's recorded run. Empty means none.
 	Record string
-	// Out receives the addresses and a line to try.
+	// Out receives the addresses and an example command.
 	Out io.Writer
 	Log *slog.Logger
 }
 
-// up is a running embedded system.
+// up is a running system with its stand-ins.
 type up struct {
 	opts     UpOptions
 	standins []*Server
@@ -72,8 +72,8 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	// The entry stops after the agents: it is the steward that takes note of
-	// the slots they release, and without it they would wait for another.
+	// The entry stops after the agents. As the steward, it records the slots
+	// that they release; without it, they would wait for another steward.
 	entryCtx, stopEntry := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopEntry()
 	group.Go(func() error {
@@ -186,7 +186,8 @@
 	c.Hosts.Interval = 500 * time.Millisecond
 }
 
-// applyQuickstart declares the examples, trying again until the entry serves.
+// applyQuickstart applies the quickstart declarations, retrying until the entry
+// accepts them. It prints the addresses once all resources are available.
 func (u *up) applyQuickstart(ctx context.Context) error {
 	resources, err := quickstart()
 	if err != nil {
@@ -207,11 +208,11 @@
 	}
 }
 
-// awaitAvailable waits until the entry would serve a request to each resource,
-// and reports false if ctx ends first. Slots get their owners some seconds
-// after the declarations are in force, and some move once more while the fleet
-// starts, so that all must be in place at the same time; a line to try that is
-// printed earlier leads a new user to a refusal.
+// awaitAvailable waits until the entry can serve a request to each resource. It
+// returns false if ctx ends first. Slots get their owners some seconds after the
+// declarations are in force, and some move again while the fleet starts, so all
+// resources must be available at the same time. If the example command were
+// printed earlier, running it could result in a refusal.
 func (u *up) awaitAvailable(ctx context.Context, operators *client.Client, resources []api.Resource) bool {
 	for !allAvailable(ctx, operators, resources) {
 		if !pause(ctx, applyRetry) {
@@ -230,12 +231,13 @@
 	return true
 }
 
-// available reports whether a resource's status says that it is in place and
-// can be served. Resources that take no requests have no such conditions.
+// available reports whether the status conditions of a resource show that it is
+// in force, placed and available. Resources that don't take requests lack some of
+// these conditions.
 func available(ctx context.Context, operators *client.Client, key api.Key) bool {
 	item, err := operators.Get(ctx, key)
 	if err != nil {
-		return false // the entry is starting: asked again
+		return false // the entry is still starting; the caller retries
 	}
 	for _, condition := range item.Status.Conditions {
 		needed := condition.Type == status.Available || condition.Type == status.Placed || condition.Type == status.InForce
@@ -246,7 +248,7 @@
 	return true
 }
 
-// pause reports false if ctx ends meanwhile.
+// pause waits for d. It returns false if ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/dev/up_test.go
+++ b/internal/dev/up_test.go
@@ -13,10 +13,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A new user starts the system and runs the call that it prints at once. It used
-// to be refused with 503 NoBackend for some seconds, since the line came when
-// the declarations were accepted, before any slot had an owner. What is printed
-// must work.
+// A user starts the system and immediately runs the example command that it
+// prints. If the command were printed as soon as the declarations are accepted,
+// before any slot has an owner, the call would be refused with 503 NoBackend for
+// some seconds. The printed command must work.
 func TestPrintedCallIsServed(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -51,7 +51,7 @@
 	}
 }
 
-// readCall returns the URL of the call to try.
+// readCall returns the URL of the printed example command.
 func readCall(t *testing.T, out io.Reader) string {
 	t.Helper()
 	lines := bufio.NewScanner(out)
