--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is a TCP relay on loopback for tests. It stands for the network
-// between two processes and disturbs it from outside them: connections are
-// delayed, reset, held up in one or both directions, or go silent for good.
+// Package relay is a TCP proxy on loopback for tests. It simulates faults of the
+// network between two processes: connections are delayed, reset, blocked in one
+// or both directions, or silently dropped.
 package relay
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// copyBytes is the size of reads from a connection.
+// copyBytes is the maximum size of a read from a connection.
 const copyBytes = 32 << 10
 
-// Direction is one way through a relay.
+// Direction is a direction of transfer through a relay.
 type Direction uint8
 
-// The directions, as seen by who dials.
+// The directions, from the point of view of the dialler.
 const (
-	// In is the way from the dialler to the target.
+	// In is the direction from the dialler to the target.
 	In Direction = iota
-	// Out is the way back.
+	// Out is the direction from the target to the dialler.
 	Out
 )
 
-// Relay passes connections on to a target. Its methods may be called
-// concurrently.
+// Relay forwards connections to a target. Its methods are safe for concurrent
+// use.
 type Relay struct {
 	listener net.Listener
 	dial     func() (net.Conn, error)
 	tasks    sync.WaitGroup
 
 	mu sync.Mutex
-	// changed wakes the copiers that wait for the end of a cut.
+	// changed is signalled when a cut or the relay ends.
 	changed *sync.Cond
 	closed  bool
 	held    [2]bool
@@ -44,12 +44,13 @@
 // conn is one connection through a relay.
 type conn struct {
 	dialler, target net.Conn
-	// silent ways take bytes and pass on nothing, also no end.
+	// silent marks directions that read and discard all bytes and don't
+	// forward the end of the connection.
 	silent [2]bool
 }
 
-// New listens on address, "IP:port", and passes each connection on to what dial
-// returns. One that can't be dialled is closed.
+// New listens on address, "IP:port", and forwards each connection to the one that
+// dial returns. If dial fails, the incoming connection is closed.
 func New(address string, dial func() (net.Conn, error)) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -66,10 +67,10 @@
 	return func() (net.Conn, error) { return net.Dial("tcp", target) }
 }
 
-// Address is the relay's "IP:port".
+// Address returns the relay's "IP:port".
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Close ends all connections and waits for the relay's goroutines.
+// Close closes all connections and waits for the relay's goroutines.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -82,22 +83,22 @@
 	r.tasks.Wait()
 }
 
-// Cut holds up all bytes in one direction, of open and new connections, until
-// Heal. None is lost, as behind a path that drops packets for a while.
+// Cut blocks all bytes in one direction, on open and new connections, until Heal.
+// No bytes are lost, as on a path that drops packets temporarily.
 func (r *Relay) Cut(direction Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.held[direction] = true
 }
 
-// Delay makes each read of bytes take so much longer on its way.
+// Delay delays the bytes of each read by d.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Heal ends cuts and delays. Connections that were silenced stay so.
+// Heal ends cuts and delays. Silenced connections remain silent.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,8 +106,8 @@
 	r.changed.Broadcast()
 }
 
-// Silence makes the open connections pass on nothing more in a direction, for
-// good. New ones work.
+// Silence makes the open connections permanently discard all bytes in a
+// direction. New connections are not affected.
 func (r *Relay) Silence(direction Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// Reset resets the open connections.
+// Reset resets the open connections (TCP RST).
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,13 +152,13 @@
 		return
 	}
 	defer r.remove(c)
-	var ways sync.WaitGroup
-	ways.Go(func() { r.copy(c, target, dialler, In) })
-	ways.Go(func() { r.copy(c, dialler, target, Out) })
-	ways.Wait()
+	var copiers sync.WaitGroup
+	copiers.Go(func() { r.copy(c, target, dialler, In) })
+	copiers.Go(func() { r.copy(c, dialler, target, Out) })
+	copiers.Wait()
 }
 
-// add reports false once the relay is closed.
+// add registers a connection. It returns false if the relay is closed.
 func (r *Relay) add(c *conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,7 +198,8 @@
 	}
 }
 
-// swallows waits until bytes may pass and reports whether the way is silent.
+// awaitPassage waits for the end of a cut and for the delay. It reports whether
+// the direction is silent, so that the bytes are to be discarded.
 func (r *Relay) awaitPassage(c *conn, direction Direction) bool {
 	r.mu.Lock()
 	for r.held[direction] && !r.closed {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// A path is cut for a while in one direction. Bytes of the other direction go
-// on, those that were held up arrive once it heals, none is lost or doubled.
+// A path is cut temporarily in one direction. Bytes in the other direction must
+// still arrive. The blocked bytes must arrive after the cut has healed, with none
+// lost or duplicated.
 func TestCutHoldsBytesUntilHealed(t *testing.T) {
 	r, dialler, target := pair(t)
 	r.Cut(In)
@@ -59,8 +60,9 @@
 	expect(t, target, "late more")
 }
 
-// An open connection goes silent for good while new ones work. Bytes, and the
-// end of the connection, never arrive.
+// An open connection becomes permanently silent in one direction: its bytes and
+// its end never arrive there, while new connections work. Bytes in the other
+// direction must still arrive.
 func TestSilenceSwallowsForGood(t *testing.T) {
 	r, dialler, target := pair(t)
 	send(t, dialler, "before")
@@ -71,7 +73,7 @@
 	expect(t, dialler, "still back")
 }
 
-// A reset ends both sides of a connection at once.
+// A reset must end both sides of a connection immediately, with an error.
 func TestResetEndsBothSides(t *testing.T) {
 	r, dialler, target := pair(t)
 	send(t, dialler, "open")
