--- a/internal/selfexec/selfexec.go
+++ b/internal/selfexec/selfexec.go
@@ -1,6 +1,6 @@
-// Package selfexec lets a test binary stand for the shipped daemon, so that the
-// processes that a test starts run the code under test, with the race detector
-// if it is on, and no binary has to be built first.
+// Package selfexec lets a test binary act as the nutmeglaned daemon. The processes
+// that a test starts then run the code under test, with the race detector if it
+// is enabled, and no binary has to be built first.
 package selfexec
 
 import (
@@ -11,12 +11,13 @@
 	"nutmeglane.example/nutmeglane/internal/hangup"
 )
 
-// Variable makes a binary whose TestMain calls Main run as nutmeglaned. Set it to
-// "1" in the environment of the processes to start, os.Executable.
+// Variable is the environment variable that makes a test binary whose TestMain
+// calls Main run as nutmeglaned. To start a daemon, run os.Executable with the
+// variable set to "1".
 const Variable = "NUTMEGLANE_TEST_AS_DAEMON"
 
-// Main runs the daemon in the started processes, and the tests otherwise. It does
-// not return.
+// Main runs the daemon if Variable is set, and the tests otherwise. It does not
+// return.
 func Main(m *testing.M) {
 	if os.Getenv(Variable) != "" {
 		os.Exit(cli.RunDaemon(os.Stdout, os.Stderr))
