--- a/examples/embed.go
+++ b/examples/embed.go
@@ -8,7 +8,7 @@
 //go:embed quickstart/*.jsonc
 var Quickstart embed.FS
 
-// Deployments holds the files of both users' deployments.
+// Deployments holds the files of examples/helvarin and examples/agence.
 //
 //go:embed helvarin/*.jsonc agence/*.jsonc
 var Deployments embed.FS
--- a/internal/examples/examples.go
+++ b/internal/examples/examples.go
@@ -1,7 +1,6 @@
-// Package examples generates the declarations of the two users' deployments,
-// examples/helvarin and examples/agence, at today's sizes: 65 models and 75
-// adapters each. The generated files are committed; a test checks that they
-// are current.
+// Package examples generates the declarations of two example deployments,
+// examples/helvarin and examples/agence, with 65 models and 75 adapters each. The
+// generated files are committed; a test checks that they are up to date.
 package examples
 
 import (
@@ -24,13 +23,14 @@
 	Data []byte
 }
 
-// fleet is what one deployment's declarations are generated from.
+// fleet is the input from which the declarations of one deployment are generated.
 type fleet struct {
 	title string
-	// tasks times variants are the models.
+	// There is one model for each combination of a task and a variant.
 	tasks    []task
 	variants []string
-	// places times uses are the adapters; the use names the base's task.
+	// There is one adapter for each combination of a place and a use. A use is
+	// the index of the task of the base model.
 	places   []string
 	uses     []int
 	services []api.Resource
@@ -49,12 +49,12 @@
 	weight int
 }
 
-// Sizes of what is generated.
+// Sizes and replica limits of the generated resources.
 const (
 	adapterMiB       = 96
 	busyReplicas     = 2
-	busyVariants     = 2 // the first variants of a task have more replicas
-	checkpointFactor = 2 // store bytes per byte of memory: unquantized
+	busyVariants     = 2 // the number of leading variants of a task with busyReplicas
+	checkpointFactor = 2 // checkpoint size per memory size; checkpoints are unquantized
 )
 
 // Names returns the names of the generated deployments.
--- a/internal/examples/examples_test.go
+++ b/internal/examples/examples_test.go
@@ -24,7 +24,7 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(string(file.Data), string(committed)); diff != "" {
-				t.Errorf("%s/%s is not current: run go generate ./internal/examples\n%s", name, file.Name, diff)
+				t.Errorf("%s/%s is out of date: run go generate ./internal/examples\n%s", name, file.Name, diff)
 			}
 		}
 	}
--- a/internal/examples/fleets.go
+++ b/internal/examples/fleets.go
@@ -2,15 +2,16 @@
 
 import "nutmeglane.example/nutmeglane/internal/api"
 
-// Memory of a loaded replica by size of model, in MiB.
+// Memory of a loaded replica in MiB, by model size.
 const (
 	small  = 6 << 10
 	medium = 14 << 10
 	large  = 28 << 10
 )
 
-// helvarin writes move-in and move-out reports in five languages. An inspector
-// stands waiting, so a cold start weighs more.
+// helvarin is a deployment that writes move-in and move-out reports in five
+// languages. Inspectors wait on site for the answers, so the cost of cold starts
+// matters more.
 func helvarin() fleet {
 	return fleet{
 		title: "Helvarin Immobilien Services AG, Abnahmeprotokolle division",
@@ -48,8 +49,8 @@
 	}
 }
 
-// agence answers clubs and festivals in five languages. Its budget is small,
-// so an idle accelerator hour weighs more.
+// agence is a deployment that answers clubs and festivals in five languages. Its
+// budget is small, so the cost of idle accelerator hours matters more.
 func agence() fleet {
 	return fleet{
 		title: "Agence Nationale des Clubs de Cerf-Volant du Senegal",
