--- a/internal/bench/capacity/point.go
+++ b/internal/bench/capacity/point.go
@@ -108,7 +108,7 @@
 	}
 	for i := range after.entries {
 		role := &p.Entry
-		if after.entries[i].Metrics[fleet.MetricOffices] > 0 {
+		if after.entries[i].Metrics[fleet.MetricStewardElections] > 0 {
 			role = &p.Steward
 		}
 		role.add(before.entries[i], after.entries[i], seconds)
--- a/internal/bench/fleet/fleet_test.go
+++ b/internal/bench/fleet/fleet_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%s: nothing measured: %+v", f.Processes()[i].Host, s)
 		}
 	}
-	if samples[0].Metrics[fleet.MetricConnections] != 2 || samples[0].Metrics[fleet.MetricOffices] != 1 {
+	if samples[0].Metrics[fleet.MetricConnections] != 2 || samples[0].Metrics[fleet.MetricStewardElections] != 1 {
 		t.Errorf("the entry is not the steward of two agents: %v", samples[0].Metrics)
 	}
 	if _, bytes := f.Platform.KVBytes.Totals(); bytes == 0 {
--- a/internal/bench/fleet/scrape.go
+++ b/internal/bench/fleet/scrape.go
@@ -16,10 +16,10 @@
 
 // Names of metrics that measurements read.
 const (
-	MetricReceived    = "wire_received_bytes_total"
-	MetricSent        = "wire_sent_bytes_total"
-	MetricConnections = "wire_connections"
-	MetricOffices     = "steward_offices_total"
+	MetricReceived         = "wire_received_bytes_total"
+	MetricSent             = "wire_sent_bytes_total"
+	MetricConnections      = "wire_connections"
+	MetricStewardElections = "steward_offices_total"
 )
 
 const metricPrefix = "nutmeglane_"
