--- a/internal/bench/capacity/capacity_test.go
+++ b/internal/bench/capacity/capacity_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// The cost of an event is what a window has over the idle one of its fleet.
+// The cost of an event is the usage of a loaded window minus that of the idle
+// window of the same fleet.
 func TestCosts(t *testing.T) {
 	idle := Point{Case: "a", Load: loadIdle, Agent: Usage{Processes: 2, CPU: 0.1}}
 	busy := Point{Case: "a", Load: loadChanges, Seconds: 10, Events: 5, Agent: Usage{Processes: 2, CPU: 0.3, InPerSecond: 50}}
@@ -35,9 +36,9 @@
 	}
 }
 
-// The steward's KV writes do not grow with the agents, and adapters that wake
-// and fall idle cause none at all.
-func TestKVCallsStayFlat(t *testing.T) {
+// The number of KV writes of the steward must not depend on the number of
+// agents. Loading and unloading adapters must not cause KV calls.
+func TestKVCallsIndependentOfAgents(t *testing.T) {
 	run := hostsRun{agents: 16, adapters: 500, settle: time.Minute, window: time.Minute}
 	few, err := run.measure()
 	if err != nil {
@@ -49,13 +50,13 @@
 		t.Fatal(err)
 	}
 	if few.Quiet.Writes != many.Quiet.Writes || few.Quiet.Writes == 0 {
-		t.Errorf("%d writes of 16 agents, %d of 64", few.Quiet.Writes, many.Quiet.Writes)
+		t.Errorf("%d writes with 16 agents, %d with 64", few.Quiet.Writes, many.Quiet.Writes)
 	}
 	if many.Waking != many.Quiet {
 		t.Errorf("waking %+v, quiet %+v", many.Waking, many.Quiet)
 	}
 	if many.Loads < many.Requests/2 {
-		t.Errorf("only %d loads for %d requests: nothing woke", many.Loads, many.Requests)
+		t.Errorf("only %d loads for %d requests, want at least half as many", many.Loads, many.Requests)
 	}
 }
 
@@ -82,7 +83,7 @@
 	}
 	for _, want := range []string{"connected agent", "0.002", "healthy"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, out.String())
+			t.Errorf("%q is missing from\n%s", want, out.String())
 		}
 	}
 }
--- a/internal/bench/capacity/case.go
+++ b/internal/bench/capacity/case.go
@@ -8,28 +8,32 @@
 	"nutmeglane.example/nutmeglane/internal/bench/fleet"
 )
 
-// Case is a fleet and what is done to it. Each case has an idle window, and a
-// further one for each of its loads.
+// Case describes a fleet and the loads that it is measured under. Each case has
+// an idle window and one window for each of its loads.
 type Case struct {
 	// Series groups the cases that differ in one dimension.
 	Series          string
 	Entries, Agents int
-	// Models are as many as agents where it is 0, with Replicas of each.
+	// Models is the number of models, 0 for one per agent. Replicas is the
+	// number of replicas of each model, 0 for one. Adapters is the number of
+	// adapters of all models together.
 	Models, Replicas, Adapters int
-	// Connect makes every entry connect to every agent by a request to each
-	// model.
+	// Connect sends a request for each model through each entry, so that
+	// every entry connects to every agent.
 	Connect bool
-	// ChangesPerSecond are applied in a window of their own.
+	// ChangesPerSecond is the rate of configuration changes in a window of
+	// their own, 0 for no such window.
 	ChangesPerSecond float64
-	// WakesPerSecond are requests to adapters that are not loaded; the
-	// engines have room for a few adapters only.
+	// WakesPerSecond is the rate of requests for adapters that are not
+	// loaded, 0 for no such window. The engines have memory for a few
+	// adapters only.
 	WakesPerSecond float64
-	// Requests and Tokens add windows of requests with one token, and of
+	// Requests adds a window of requests with one output token, Tokens one of
 	// long answers.
 	Requests, Tokens bool
 }
 
-// The series.
+// Names of the series.
 const (
 	seriesAgents   = "agents"
 	seriesEntries  = "entries"
@@ -39,7 +43,7 @@
 	seriesLoad     = "load"
 )
 
-// DefaultCases are at most 124 daemons each.
+// DefaultCases returns the cases of all series. Each has at most 124 daemons.
 func DefaultCases() []Case {
 	return []Case{
 		{Series: seriesAgents, Entries: 2, Agents: 10, Connect: true},
@@ -58,8 +62,8 @@
 	}
 }
 
-// CasesOf returns the default cases of the named series, or all if none is
-// named.
+// CasesOf returns the default cases of the named series, nil if none is named.
+// Options use all default cases then.
 func CasesOf(series []string) ([]Case, error) {
 	var cases []Case
 	for _, name := range series {
@@ -70,13 +74,13 @@
 			}
 		}
 		if len(cases) == before {
-			return nil, errors.Newf("no series %q", name)
+			return nil, errors.Newf("unknown series %q", name)
 		}
 	}
 	return cases, nil
 }
 
-// Name tells the case in results.
+// Name identifies the case in results.
 func (c Case) Name() string {
 	return fmt.Sprintf("%s: %d entries, %d agents, %d adapters", c.Series, c.Entries, c.Agents, c.Adapters)
 }
@@ -101,7 +105,7 @@
 	}
 }
 
-// engineMemoryMiB is the accelerator memory of each host.
+// engineMemoryMiB returns the accelerator memory of each host.
 func (c Case) engineMemoryMiB() int64 {
 	perHost := (c.models()*c.replicas() + c.Agents - 1) / c.Agents
 	return int64(memoryShare * perHost * fleet.ModelMemoryMiB)
--- a/internal/bench/capacity/stage.go
+++ b/internal/bench/capacity/caserun.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// warmLimit bounds the start of a fleet until the configuration is in
-	// force everywhere.
+	// warmLimit is the timeout for preparing a fleet: bringing the configuration
+	// in force everywhere and connecting the entries.
 	warmLimit = 2 * time.Minute
-	// concurrency is the number of requests one replica runs at a time.
+	// concurrency is the number of requests that a replica runs concurrently.
 	concurrency = 64
-	// memoryShare is the accelerator memory of a host, over an even share of
-	// what is placed. With much more, the agents that report first get it all.
+	// memoryShare is the accelerator memory of a host relative to an even share
+	// of the placed replicas. With much more memory, all replicas are placed at
+	// the agents that report first.
 	memoryShare = 2
-	// tightMemoryMiB holds a model and some twenty adapters, so that each
-	// further adapter that wakes pushes one out.
+	// tightMemoryMiB fits a model and about twenty adapters, so that loading
+	// another adapter evicts one.
 	tightMemoryMiB = 64 + 20
-	// connectAtOnce is the number of requests under way while entries are
-	// made to connect.
-	connectAtOnce = 32
+	// connectConcurrency is the number of concurrent requests that connect
+	// entries to agents.
+	connectConcurrency = 32
 )
 
-// stage is a running case.
-type stage struct {
+// caseRun is a running case and its fleet.
+type caseRun struct {
 	opts     Options
 	testCase Case
 	fleet    *fleet.Fleet
@@ -40,9 +41,10 @@
 	warmTime time.Duration
 }
 
-// measureCase runs one fleet and returns its points.
+// measureCase starts a fleet, measures each load of the case and returns one
+// point per load.
 func measureCase(ctx context.Context, opts Options, c Case) ([]Point, error) {
-	s := &stage{opts: opts, testCase: c, referee: engine.NewReferee()}
+	s := &caseRun{opts: opts, testCase: c, referee: engine.NewReferee()}
 	options := engine.Options{MemoryMiB: c.engineMemoryMiB(), MaxBatch: concurrency, Referee: s.referee}
 	if c.WakesPerSecond > 0 {
 		options.MemoryMiB = tightMemoryMiB
@@ -59,7 +61,7 @@
 	return points, errors.Wrap(err, c.Name())
 }
 
-func (s *stage) measure(ctx context.Context) ([]Point, error) {
+func (s *caseRun) measure(ctx context.Context) ([]Point, error) {
 	if err := s.warm(ctx); err != nil {
 		return nil, err
 	}
@@ -76,8 +78,9 @@
 	return points, nil
 }
 
-// warm brings the configuration in force everywhere and connects entries.
-func (s *stage) warm(ctx context.Context) error {
+// warm applies the configuration, waits until it is in force at all daemons and
+// connects the entries to the agents if the case wants it.
+func (s *caseRun) warm(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, warmLimit)
 	defer cancel()
 	begin := time.Now()
@@ -89,7 +92,7 @@
 		return err
 	}
 	s.warmTime = time.Since(begin)
-	// Slots are placed and kept models loaded meanwhile.
+	// The steward places slots, and agents load the models to keep loaded.
 	if err := pause(ctx, s.opts.Settle/2); err != nil {
 		return err
 	}
@@ -99,11 +102,11 @@
 	return pause(ctx, s.opts.Settle/2)
 }
 
-// connect sends a request for each model through each entry. A request that
-// fails is let be: the points tell how many connections stand.
-func (s *stage) connect(ctx context.Context) {
+// connect sends a request for each model through each entry. Failed requests are
+// only printed, since the points include the number of connections.
+func (s *caseRun) connect(ctx context.Context) {
 	var group errgroup.Group
-	group.SetLimit(connectAtOnce)
+	group.SetLimit(connectConcurrency)
 	client := &http.Client{Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
 	for _, entry := range s.fleet.Entries {
@@ -137,8 +140,8 @@
 	return nil
 }
 
-// window measures while one load runs.
-func (s *stage) window(ctx context.Context, l workload) (Point, error) {
+// window runs one load and measures the fleet meanwhile.
+func (s *caseRun) window(ctx context.Context, l workload) (Point, error) {
 	before, err := s.read(ctx)
 	if err != nil {
 		return Point{}, err
--- a/internal/bench/capacity/connections.go
+++ b/internal/bench/capacity/connections.go
@@ -18,20 +18,20 @@
 // Idle is the cost of idle connections, at the default ping interval.
 type Idle struct {
 	Connections int `json:"connections"`
-	// BytesPerEnd is memory in use for one end of a connection, without the
-	// kernel's buffers, and WireBytesPerSecond what one end sends.
+	// BytesPerEnd is the memory in use for one end of a connection, without
+	// kernel buffers. WireBytesPerSecond is the rate at which one end sends.
 	BytesPerEnd        float64 `json:"bytes_per_end"`
 	WireBytesPerSecond float64 `json:"wire_bytes_per_second"`
-	// CPUPerEnd is the share of a core.
+	// CPUPerEnd is the fraction of a core that one end uses.
 	CPUPerEnd   float64 `json:"cpu_per_end"`
 	MachineLoad string  `json:"machine_load"`
 }
 
-// dialLimit bounds setting up all connections.
+// dialLimit limits the time for establishing all connections.
 const dialLimit = time.Minute
 
-// measureIdle opens connections from one node each to one accepting node, all
-// in this process, and leaves them idle for the window.
+// measureIdle connects count nodes to one accepting node, all in this process,
+// and measures the connections while they are idle for opts.Window.
 func measureIdle(ctx context.Context, opts Options, count int) (Idle, error) {
 	ping := core.DefaultTimings().PingInterval
 	meter := &byteMeter{}
@@ -76,7 +76,7 @@
 }
 
 func dialAll(ctx context.Context, nodes []*wire.Node, address string, up <-chan bool) error {
-	const atOnce = 64
+	const maxPending = 64
 	ctx, cancel := context.WithTimeout(ctx, dialLimit)
 	defer cancel()
 	waiting := 0
@@ -93,7 +93,7 @@
 		}
 	}
 	for _, n := range nodes {
-		if waiting == atOnce {
+		if waiting == maxPending {
 			if err := await(); err != nil {
 				return err
 			}
@@ -115,7 +115,8 @@
 	_ = n.Close(ctx)
 }
 
-// memoryInUse returns heap and stacks after a collection.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage
+// collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -124,7 +125,7 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// byteMeter counts bytes sent.
+// byteMeter is a wire metrics sink that counts the bytes sent.
 type byteMeter struct{ out atomic.Int64 }
 
 func (m *byteMeter) BytesIn(int)     {}
--- a/internal/bench/capacity/cost.go
+++ b/internal/bench/capacity/cost.go
@@ -2,20 +2,22 @@
 
 import "nutmeglane.example/nutmeglane/internal/kv"
 
-// Cost is what one event costs over the idle window of the same fleet.
+// Cost is the cost of one event: the usage of a loaded window minus that of the
+// idle window of the same fleet, per event.
 type Cost struct {
 	Load     string `json:"load"`
 	Case     string `json:"case"`
 	Adapters int    `json:"adapters"`
-	// Events were counted in the window.
+	// Events is the number of events in the window.
 	Events float64 `json:"events"`
-	// Roles has the costs at one process of each role, PerFleet those of all
-	// processes together.
+	// Agent, Entry and Steward are the costs to one process of the role,
+	// PerFleet those to all processes together.
 	Agent    EventCost `json:"agent"`
 	Entry    EventCost `json:"entry"`
 	Steward  EventCost `json:"steward"`
 	PerFleet EventCost `json:"fleet"`
-	// KVCalls and KVBytes are those of all processes.
+	// KVCalls and KVBytes are the KV calls, by operation, and their bytes of
+	// all processes together.
 	KVCalls map[kv.Op]float64 `json:"kv_calls"`
 	KVBytes float64           `json:"kv_bytes"`
 }
@@ -27,7 +29,9 @@
 	OutBytes  float64 `json:"out_bytes"`
 }
 
-// costs compares each loaded window with the idle one before it.
+// costs compares each loaded window with the idle window that precedes it.
+// Windows without an idle window of the same case or without events are left
+// out.
 func costs(points []Point) []Cost {
 	var all []Cost
 	var idle *Point
--- a/internal/bench/capacity/countingkv.go
+++ b/internal/bench/capacity/countingkv.go
@@ -5,24 +5,24 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// countingKV is a KV service in virtual time, which never fails, that counts
-// its calls. Leases never lapse.
+// countingKV simulates the KV service in virtual time and counts its calls.
+// Calls never fail, and leases never expire.
 type countingKV struct {
 	values   map[string]core.KVValue
 	revision int64
 	counts   KVCounts
 }
 
-// KVCounts are the calls of one entry, and what they cause at the watches.
+// KVCounts counts the KV calls of one entry and their effects on watches.
 type KVCounts struct {
 	Reads      int `json:"reads"`
 	Writes     int `json:"writes"`
 	KeepAlives int `json:"keep_alives"`
-	// Changes are the accepted writes, each of which wakes a watch at every
-	// entry.
+	// Changes is the number of accepted writes. Each is sent to a watch of
+	// every entry.
 	Changes int `json:"changes"`
-	// WrittenBytes are the bytes of accepted values, which every watch
-	// receives too.
+	// WrittenBytes is the size of the values of accepted writes. Every watch
+	// receives them too.
 	WrittenBytes int `json:"written_bytes"`
 }
 
@@ -35,8 +35,8 @@
 
 func newCountingKV() *countingKV { return &countingKV{values: map[string]core.KVValue{}} }
 
-// do carries an effect out and returns the events that follow; none for
-// effects of other kinds.
+// do executes a KV effect and returns the resulting events. It ignores other
+// effects and returns nil for them.
 func (k *countingKV) do(effect core.Effect) []core.Event {
 	switch e := effect.(type) {
 	case core.KVGet:
--- a/internal/bench/capacity/options.go
+++ b/internal/bench/capacity/options.go
@@ -13,39 +13,39 @@
 
 // The parts, in the order they run.
 const (
-	PartHosts       Part = "hosts"       // KV calls against hosts, in virtual time
+	PartHosts       Part = "hosts"       // KV calls by fleet size, in virtual time
 	PartConnections Part = "connections" // idle connections
-	PartSlopes      Part = "slopes"      // fleets of processes
-	PartPropagation Part = "propagation" // time until a change is in force
+	PartSlopes      Part = "slopes"      // costs in fleets of processes
+	PartPropagation Part = "propagation" // time until a configuration change is in force
 )
 
 // Parts lists all parts.
 func Parts() []Part { return []Part{PartHosts, PartConnections, PartSlopes, PartPropagation} }
 
-// Options configure a run. Zero fields, but Daemon, have defaults.
+// Options configure a run. All fields except Daemon have defaults, which apply
+// where they are zero.
 type Options struct {
 	// Daemon is the path of the nutmeglaned binary.
 	Daemon string
-	// Parts to run. Default all.
+	// Parts lists the parts to run. Default all.
 	Parts []Part
-	// Settle is the wait between a fleet's start and its measurement, and
+	// Settle is the time between the start of a fleet and its measurement,
 	// Window the length of each measurement. Default 20 s each.
 	Settle, Window time.Duration
-	// Cases are the fleets that slopes are measured on. Default
-	// DefaultCases.
+	// Cases are the cases of PartSlopes. Default DefaultCases.
 	Cases []Case
 	// Hosts are the fleet sizes of PartHosts. Default 10, 100, 1000, 3000.
 	Hosts []int
-	// Connections are the numbers of PartConnections. Default 100, 1000,
-	// 5000.
+	// Connections are the numbers of connections of PartConnections. Default
+	// 100, 1000, 5000.
 	Connections []int
-	// PropagationAgents is the number of agents of PartPropagation, beside
-	// its entries. Default 180.
+	// PropagationAgents is the number of agents of PartPropagation; its
+	// entries are not included. Default 180.
 	PropagationAgents int
 	// PropagationChanges is the number of changes for each state of the KV
 	// service. Default 20.
 	PropagationChanges int
-	// Progress gets a line for each step. Default none.
+	// Progress receives one line of text for each step. Default io.Discard.
 	Progress io.Writer
 }
 
--- a/internal/bench/capacity/point.go
+++ b/internal/bench/capacity/point.go
@@ -10,11 +10,11 @@
 	"nutmeglane.example/nutmeglane/internal/standin/engine"
 )
 
-// Point is what was measured in one window.
+// Point is the measurement of one window.
 type Point struct {
 	Case   string `json:"case"`
 	Series string `json:"series"`
-	// Load is what was done meanwhile: idle, changes, wakes, requests or
+	// Load is the load during the window: idle, changes, wakes, requests or
 	// tokens.
 	Load     string  `json:"load"`
 	Entries  int     `json:"entries"`
@@ -22,32 +22,33 @@
 	Replicas int     `json:"replicas"`
 	Adapters int     `json:"adapters"`
 	Seconds  float64 `json:"seconds"`
-	// MachineLoad is the load average at the window's end; it includes other
-	// work on the machine.
+	// MachineLoad is the load average of the machine at the end of the
+	// window, other processes included.
 	MachineLoad string `json:"machine_load"`
-	// Events are the changes, wakes, requests or tokens of the window.
+	// Events is the number of changes, wakes, requests or tokens in the
+	// window.
 	Events  float64 `json:"events"`
 	Unloads float64 `json:"unloads,omitempty"`
-	// Agent, Entry and Steward are means over the processes of the role. The
-	// steward is the entry in office, which Entry leaves out.
+	// Agent, Entry and Steward are means over the processes of the role. Entry
+	// excludes the entry that is the steward.
 	Agent   Usage `json:"agent"`
 	Entry   Usage `json:"entry"`
 	Steward Usage `json:"steward"`
-	// KVCallsPerSecond counts by operation.
+	// KVCallsPerSecond is the rate of KV calls by operation.
 	KVCallsPerSecond map[kv.Op]float64 `json:"kv_calls_per_second"`
 	KVBytesPerSecond float64           `json:"kv_bytes_per_second"`
-	// HostBytesPerRead is the size of the host list.
+	// HostBytesPerRead is the size of one response with the host list.
 	HostBytesPerRead   float64 `json:"host_bytes_per_read"`
 	HostReadsPerSecond float64 `json:"host_reads_per_second"`
 	// SecondsToInForce is the time until the first configuration was in force
-	// everywhere.
+	// at all daemons.
 	SecondsToInForce float64 `json:"seconds_to_in_force"`
 }
 
-// Usage is the mean of a role's processes.
+// Usage is the mean resource usage of the processes of a role.
 type Usage struct {
 	Processes int `json:"processes"`
-	// CPU is the share of a core.
+	// CPU is the fraction of a core.
 	CPU         float64 `json:"cpu"`
 	ResidentMiB float64 `json:"resident_mib"`
 	Connections float64 `json:"connections"`
@@ -70,7 +71,7 @@
 	u.InPerSecond, u.OutPerSec = u.InPerSecond/n, u.OutPerSec/n
 }
 
-// reading is the state of all counters at a moment.
+// reading is a snapshot of all counters.
 type reading struct {
 	at                   time.Time
 	entries, agents      []fleet.Sample
@@ -80,7 +81,7 @@
 	referee              engine.Report
 }
 
-func (s *stage) read(ctx context.Context) (r reading, err error) {
+func (s *caseRun) read(ctx context.Context) (r reading, err error) {
 	if r.entries, err = fleet.Samples(ctx, s.fleet.Entries); err != nil {
 		return r, err
 	}
@@ -95,8 +96,9 @@
 	return r, nil
 }
 
-// point works out what happened between two readings.
-func (s *stage) point(load string, events float64, before, after reading) Point {
+// point calculates the measurement of a window from the readings at its start
+// and end.
+func (s *caseRun) point(load string, events float64, before, after reading) Point {
 	c := s.testCase
 	seconds := after.at.Sub(before.at).Seconds()
 	p := Point{
--- a/internal/bench/capacity/propagation.go
+++ b/internal/bench/capacity/propagation.go
@@ -14,29 +14,30 @@
 	"nutmeglane.example/nutmeglane/internal/standin/kv"
 )
 
-// The fleet that propagation is measured on.
+// The fleet and the timing of the propagation measurement.
 const (
 	propagationEntries  = 8
 	propagationZones    = 8
 	propagationAdapters = 1_000
-	// slowKVDelay is the delay of each call while the KV service is slow.
+	// slowKVDelay is the additional delay of each KV call while the service is
+	// slow.
 	slowKVDelay = time.Second
 	// changeGap is the pause between two changes.
 	changeGap = 500 * time.Millisecond
 	// inForceBudget is the time within which a change has to be in force
 	// everywhere.
 	inForceBudget = 7 * time.Second
-	// inForceLimit ends the wait for a change that gets lost.
+	// inForceLimit is the timeout for a change that does not come into force.
 	inForceLimit = time.Minute
 )
 
-// Propagation is the time from the operator's call until a change was in force
-// at each daemon, over all changes and daemons.
+// Propagation is the distribution of the time from the operator's call until a
+// change was in force at a daemon, over all changes and daemons.
 type Propagation struct {
 	KV      string `json:"kv"`
 	Daemons int    `json:"daemons"`
 	Changes int    `json:"changes"`
-	// Seconds at quantiles, over all pairs of change and daemon.
+	// P50 to Max are quantiles in seconds over all pairs of change and daemon.
 	P50 float64 `json:"p50_seconds"`
 	P90 float64 `json:"p90_seconds"`
 	P99 float64 `json:"p99_seconds"`
@@ -46,14 +47,14 @@
 	MachineLoad string `json:"machine_load"`
 }
 
-// measurePropagation applies changes to one large fleet, with the KV service
-// healthy, then slow.
+// measurePropagation measures changes in one large fleet, first with a healthy
+// KV service, then with a slow one.
 func measurePropagation(ctx context.Context, opts Options) ([]Propagation, error) {
 	c := Case{
 		Series: "propagation", Entries: propagationEntries, Agents: opts.PropagationAgents,
 		Adapters: propagationAdapters,
 	}
-	s := &stage{opts: opts, testCase: c, referee: engine.NewReferee()}
+	s := &caseRun{opts: opts, testCase: c, referee: engine.NewReferee()}
 	var err error
 	s.fleet, err = fleet.Start(ctx, fleet.Options{
 		Daemon: opts.Daemon, Entries: c.Entries, Agents: c.Agents, Zones: propagationZones,
@@ -75,7 +76,7 @@
 	return []Propagation{healthy, slow}, err
 }
 
-func (s *stage) propagate(ctx context.Context, state string, offset int) (Propagation, error) {
+func (s *caseRun) propagate(ctx context.Context, state string, offset int) (Propagation, error) {
 	result := Propagation{KV: state, Daemons: len(s.fleet.Processes()), Changes: s.opts.PropagationChanges}
 	var times []time.Duration
 	for n := range s.opts.PropagationChanges {
@@ -101,8 +102,9 @@
 	return result, nil
 }
 
-// propagateOne returns the time that one change took to each daemon.
-func (s *stage) propagateOne(ctx context.Context, n int) ([]time.Duration, error) {
+// propagateOne applies a change and returns the time until it was in force at
+// each daemon.
+func (s *caseRun) propagateOne(ctx context.Context, n int) ([]time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, inForceLimit)
 	defer cancel()
 	begin := time.Now()
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Result is what a run measured.
+// Result has the measurements of a run.
 type Result struct {
 	Started time.Time `json:"started"`
 	Cores   int       `json:"cores"`
-	// ElapsedSeconds is the length of the whole run.
+	// ElapsedSeconds is the duration of the whole run.
 	ElapsedSeconds float64       `json:"elapsed_seconds"`
 	Hosts          []HostsResult `json:"hosts"`
 	Idle           []Idle        `json:"idle_connections"`
@@ -23,7 +23,8 @@
 	Propagation    []Propagation `json:"propagation"`
 }
 
-// Run measures. On an error it returns what was measured before.
+// Run runs the parts that opts select. If a part fails, Run returns the
+// measurements before the failure together with the error.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	opts = opts.withDefaults()
 	r := &Result{Started: time.Now().UTC(), Cores: runtime.NumCPU()}
@@ -66,7 +67,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		result, err := aimRun(agents).measure()
+		result, err := targetRun(agents).measure()
 		if err != nil {
 			return err
 		}
@@ -84,7 +85,7 @@
 			return err
 		}
 		r.Idle = append(r.Idle, idle)
-		fmt.Fprintf(opts.Progress, "%d idle connections: %.0f bytes an end, %.1f bytes/s\n",
+		fmt.Fprintf(opts.Progress, "%d idle connections: %.0f bytes per end, %.1f bytes/s\n",
 			count, idle.BytesPerEnd, idle.WireBytesPerSecond)
 	}
 	return nil
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -1,9 +1,9 @@
 package capacity
 
-// Quantity names what a slope is of.
+// Quantity is a resource usage that a slope is fitted to.
 type Quantity string
 
-// The quantities, each of one process.
+// The quantities. Each is the usage of one process.
 const (
 	QuantityCPU      Quantity = "core share"
 	QuantityResident Quantity = "resident MiB"
@@ -11,17 +11,17 @@
 	QuantityOut      Quantity = "bytes/s out"
 )
 
-// Role names whose usage a slope is of.
+// Role is the process role whose usage a slope describes.
 type Role string
 
-// The roles. The steward is the entry in office.
+// The roles. RoleEntry excludes the entry that is the steward.
 const (
 	RoleAgent   Role = "agent"
 	RoleEntry   Role = "entry"
 	RoleSteward Role = "steward"
 )
 
-// Slope is a straight line fitted to points: Base + X * PerUnit.
+// Slope is a straight line fitted to points: Y = Base + X * PerUnit.
 type Slope struct {
 	Role     Role     `json:"role"`
 	Quantity Quantity `json:"quantity"`
@@ -29,17 +29,18 @@
 	Per     string  `json:"per"`
 	Base    float64 `json:"base"`
 	PerUnit float64 `json:"per_unit"`
-	// From lists the x and y values fitted.
+	// From has the values that the line is fitted to.
 	From []Pair `json:"from"`
 }
 
-// Pair is one measured value.
+// Pair is a measured value Y at X.
 type Pair struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// fit returns the least-squares line through pairs.
+// fit returns the least-squares line through pairs. If all X are equal, the
+// slope is 0 and base is the mean of Y.
 func fit(pairs []Pair) (base, slope float64) {
 	n := float64(len(pairs))
 	if n == 0 {
@@ -86,7 +87,8 @@
 	}
 }
 
-// dimension is what the cases of a series differ in.
+// dimension is the quantity that varies between the cases of a series. Slopes of
+// a role are fitted against it.
 type dimension struct {
 	series string
 	per    string
@@ -113,7 +115,8 @@
 	}
 }
 
-// slopes fits every quantity along every dimension.
+// slopes fits a line to the idle points for every quantity and dimension. A
+// series with fewer than two points has no slope.
 func slopes(points []Point) []Slope {
 	var all []Slope
 	for _, d := range dimensions() {
--- a/internal/bench/capacity/workload.go
+++ b/internal/bench/capacity/workload.go
@@ -27,16 +27,17 @@
 	tokensPerStream   = 200
 )
 
-// workload is done to a fleet during a window. It returns the events counted.
+// workload is a load on a fleet during a window. run returns the number of
+// events.
 type workload struct {
 	name string
-	run  func(context.Context, *stage) (float64, error)
+	run  func(context.Context, *caseRun) (float64, error)
 }
 
-func (s *stage) loads() []workload {
+func (s *caseRun) loads() []workload {
 	c := s.testCase
 	loads := []workload{{loadIdle, idle}}
-	add := func(wanted bool, name string, run func(context.Context, *stage) (float64, error)) {
+	add := func(wanted bool, name string, run func(context.Context, *caseRun) (float64, error)) {
 		if wanted {
 			loads = append(loads, workload{name, run})
 		}
@@ -48,10 +49,10 @@
 	return loads
 }
 
-func idle(ctx context.Context, s *stage) (float64, error) { return 0, pause(ctx, s.opts.Window) }
+func idle(ctx context.Context, s *caseRun) (float64, error) { return 0, pause(ctx, s.opts.Window) }
 
-// change applies changes of single adapters at a steady rate.
-func change(ctx context.Context, s *stage) (float64, error) {
+// change applies configuration changes of one adapter each at a constant rate.
+func change(ctx context.Context, s *caseRun) (float64, error) {
 	interval := time.Duration(float64(time.Second) / s.testCase.ChangesPerSecond)
 	end := time.Now().Add(s.opts.Window)
 	count := 0
@@ -71,14 +72,16 @@
 	return float64(count), s.fleet.AwaitRevision(ctx, revision)
 }
 
-// changedAdapter gives the n-th adapter another size.
+// changedAdapter returns the resource of the n-th change, which gives an adapter
+// another memory size.
 func changedAdapter(c Case, n int) api.Resource {
 	i := n % c.Adapters
 	return fleet.Adapter(i, i%c.models(), 2+int64(n/c.Adapters))
 }
 
-// wake asks for adapters at random, nearly all of them not loaded.
-func wake(ctx context.Context, s *stage) (float64, error) {
+// wake sends requests for random adapters, almost all of which are not loaded,
+// and returns the number of loads.
+func wake(ctx context.Context, s *caseRun) (float64, error) {
 	names := make([]string, s.testCase.Adapters)
 	for i := range names {
 		names[i] = fleet.AdapterName(i)
@@ -88,16 +91,16 @@
 	return float64(s.referee.Report().Loads - before), err
 }
 
-func request(ctx context.Context, s *stage) (float64, error) {
+func request(ctx context.Context, s *caseRun) (float64, error) {
 	return s.send(ctx, requestsPerSecond, s.modelNames(), 1)
 }
 
-func stream(ctx context.Context, s *stage) (float64, error) {
+func stream(ctx context.Context, s *caseRun) (float64, error) {
 	requests, err := s.send(ctx, streamsPerSecond, s.modelNames(), tokensPerStream)
 	return requests * tokensPerStream, err
 }
 
-func (s *stage) modelNames() []string {
+func (s *caseRun) modelNames() []string {
 	names := make([]string, s.testCase.models())
 	for i := range names {
 		names[i] = fleet.ModelName(i)
@@ -105,8 +108,8 @@
 	return names
 }
 
-// send runs a load plan for the window and returns the right answers.
-func (s *stage) send(ctx context.Context, perSecond float64, names []string, tokens int) (float64, error) {
+// send runs a load plan for the window and returns the number of correct answers.
+func (s *caseRun) send(ctx context.Context, perSecond float64, names []string, tokens int) (float64, error) {
 	plan := load.Plan{
 		Duration: load.Duration(s.opts.Window), Versions: map[string]string{},
 		Classes: []load.Class{{
@@ -127,7 +130,7 @@
 		return 0, err
 	}
 	if faults := summary.Faults(); faults > 0 {
-		return 0, errors.Newf("%d faulty answers, such as %v", faults, summary.Examples)
+		return 0, errors.Newf("%d faulty answers, for example %v", faults, summary.Examples)
 	}
 	return summary.Phases[0].GoodputPerSecond * s.opts.Window.Seconds(), nil
 }
