--- a/internal/bench/fleet/declare.go
+++ b/internal/bench/fleet/declare.go
@@ -8,24 +8,26 @@
 	"nutmeglane.example/nutmeglane/internal/api"
 )
 
-// APIKey is the key of the client account that Declare declares.
+// APIKey is the API key of the client account that Declare declares.
 const APIKey = "nk-bench-0123456789"
 
-// CheckpointVersion is the version in force of all models and adapters that
-// Declare declares.
+// CheckpointVersion is the version of all models and adapters that Declare
+// declares.
 const CheckpointVersion = "1"
 
-// ModelMemoryMiB is the accelerator memory of each declared model.
+// ModelMemoryMiB is the accelerator memory that each declared model needs.
 const ModelMemoryMiB = 64
 
 const adapterMemoryMiB = 1
 
-// Declaration says how much to declare.
+// Declaration has the numbers of resources to declare. Replicas is per model,
+// Adapters of all models together.
 type Declaration struct {
 	Models, Replicas, Adapters int
-	// MaxConcurrent is the number of requests one replica runs at a time.
+	// MaxConcurrent is the number of requests that a replica runs concurrently.
 	MaxConcurrent int
-	// KeepLoaded replicas of each model are loaded also when idle.
+	// KeepLoaded is the number of replicas of each model that stay loaded when
+	// idle.
 	KeepLoaded int
 }
 
@@ -35,7 +37,7 @@
 // AdapterName returns the name of the i-th adapter.
 func AdapterName(i int) string { return fmt.Sprintf("adapter-%05d", i) }
 
-// Declare returns the resources of a declaration. The adapters are spread
+// Declare returns the resources of a declaration. The adapters are distributed
 // evenly over the models.
 func Declare(d Declaration) []api.Resource {
 	digest := sha256.Sum256([]byte(APIKey))
@@ -55,7 +57,7 @@
 	return resources
 }
 
-// Adapter returns an adapter's declaration.
+// Adapter returns the resource of the i-th adapter, based on the given model.
 func Adapter(i, model int, memoryMiB int64) api.Resource {
 	return resource(api.KindAdapter, AdapterName(i), &api.AdapterSpec{
 		Base: ModelName(model), Version: CheckpointVersion, MemoryMiB: memoryMiB,
--- a/internal/bench/fleet/doc.go
+++ b/internal/bench/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet runs the shipped daemons as separate processes beside
-// stand-ins of the platform in the calling process, on loopback, so that a
-// measurement can account for each daemon by itself.
+// Package fleet runs the daemon binary as separate processes on loopback, against
+// fakes of the platform's services in the calling process. Since each daemon is a
+// process, its CPU time, memory and metrics can be measured separately.
 package fleet
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// applyRetry is the pause between tries to apply while entries start.
+	// applyRetry is the interval between attempts to apply while entries start.
 	applyRetry = 200 * time.Millisecond
-	// pollInterval is the pause between two looks at a condition.
+	// pollInterval is the interval between checks of a condition.
 	pollInterval = 20 * time.Millisecond
-	// callLimit bounds one HTTP call of the measurement itself.
+	// callLimit is the timeout of HTTP calls to daemons by the measurement itself.
 	callLimit = 30 * time.Second
 )
 
@@ -35,16 +35,16 @@
 	Entries, Agents int
 	// Zones is the number of availability zones. Default 1.
 	Zones int
-	// Engine configures the stand-in engine beside each agent.
+	// Engine configures the fake engine of each agent.
 	Engine engine.Options
 }
 
-// Fleet is a running system.
+// Fleet has the running daemons and the fakes that they use.
 type Fleet struct {
 	Platform *Platform
 	Entries  []*Process
 	Agents   []*Process
-	// Engines are the stand-in engines, in the order of Agents.
+	// Engines are the fake engines, in the order of Agents.
 	Engines []*dev.Server
 
 	opts      Options
@@ -52,7 +52,7 @@
 	client    *http.Client
 }
 
-// Start runs the fleet until Close.
+// Start starts a fleet. It runs until Close.
 func Start(ctx context.Context, opts Options) (*Fleet, error) {
 	opts.Zones = max(1, opts.Zones)
 	directory, err := os.MkdirTemp("", "nutmeglane-fleet-")
@@ -105,7 +105,7 @@
 		return err
 	}
 	f.Engines = append(f.Engines, server)
-	s := f.common(settings.RoleAgent, fmt.Sprintf("agent-%04d", i+1), f.zone(i))
+	s := f.commonSettings(settings.RoleAgent, fmt.Sprintf("agent-%04d", i+1), f.zone(i))
 	s.Peers, s.Backend = &listener{freePort}, &backend{core.BackendEngine, server.URL()}
 	p, err := f.start(s)
 	if err == nil {
@@ -115,7 +115,7 @@
 }
 
 func (f *Fleet) startEntry(i int) error {
-	s := f.common(settings.RoleEntry, fmt.Sprintf("entry-%04d", i+1), f.zone(i))
+	s := f.commonSettings(settings.RoleEntry, fmt.Sprintf("entry-%04d", i+1), f.zone(i))
 	s.Callers, s.KV = &listener{freePort}, &address{f.Platform.KVURL()}
 	p, err := f.start(s)
 	if err == nil {
@@ -137,8 +137,9 @@
 	return append(append([]*Process{}, f.Entries...), f.Agents...)
 }
 
-// Apply declares resources at an entry and returns the revision. It tries
-// again until ctx ends while the system starts.
+// Apply applies resources at an entry and returns the revision. It retries until
+// ctx ends, since calls fail while the daemons start. Only a refusal with status
+// 400 is returned at once.
 func (f *Fleet) Apply(ctx context.Context, entry int, resources []api.Resource) (int64, error) {
 	operators := client.New("http://"+f.Entries[entry].Operators, "", f.client)
 	for {
@@ -156,7 +157,8 @@
 	}
 }
 
-// AwaitRevision waits until a revision is in force at every process.
+// AwaitRevision waits until a revision, or a later one, is in force at every
+// daemon.
 func (f *Fleet) AwaitRevision(ctx context.Context, revision int64) error {
 	for _, p := range f.Processes() {
 		for {
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// Samples reads the counters of some processes.
+// Samples samples the given processes and returns the samples in their order.
 func Samples(ctx context.Context, processes []*Process) ([]Sample, error) {
 	samples := make([]Sample, len(processes))
 	group, ctx := errgroup.WithContext(ctx)
@@ -185,7 +187,7 @@
 	return samples, group.Wait()
 }
 
-// Close ends all processes and stand-ins.
+// Close kills all processes and closes the fakes.
 func (f *Fleet) Close() {
 	for _, p := range f.Processes() {
 		_ = p.command.Process.Kill()
--- a/internal/bench/fleet/fleet_test.go
+++ b/internal/bench/fleet/fleet_test.go
@@ -10,8 +10,8 @@
 
 func TestMain(m *testing.M) { selfexec.Main(m) }
 
-// A fleet of real processes takes a configuration, is accounted for process by
-// process, and leaves no process behind.
+// A fleet of processes must bring a configuration in force, yield a sample for
+// each process, and leave no process running after Close.
 func TestFleet(t *testing.T) {
 	t.Setenv(selfexec.Variable, "1")
 	binary, err := os.Executable()
@@ -36,11 +36,11 @@
 	}
 	for i, s := range samples {
 		if s.CPU <= 0 || s.Resident <= 0 || s.Metrics[fleet.MetricReceived] <= 0 {
-			t.Errorf("%s: nothing measured: %+v", f.Processes()[i].Host, s)
+			t.Errorf("%s: sample lacks CPU time, memory or received bytes: %+v", f.Processes()[i].Host, s)
 		}
 	}
 	if samples[0].Metrics[fleet.MetricConnections] != 2 || samples[0].Metrics[fleet.MetricStewardElections] != 1 {
-		t.Errorf("the entry is not the steward of two agents: %v", samples[0].Metrics)
+		t.Errorf("the entry is not the steward with connections to two agents: %v", samples[0].Metrics)
 	}
 	if _, bytes := f.Platform.KVBytes.Totals(); bytes == 0 {
 		t.Error("no bytes of the KV service counted")
@@ -48,7 +48,7 @@
 	f.Close()
 	for _, p := range f.Processes() {
 		if _, err := p.Sample(t.Context()); err == nil {
-			t.Errorf("%s still runs", p.Host)
+			t.Errorf("%s is still running", p.Host)
 		}
 	}
 }
--- a/internal/bench/fleet/platform.go
+++ b/internal/bench/fleet/platform.go
@@ -9,8 +9,8 @@
 	"nutmeglane.example/nutmeglane/internal/standin/kv"
 )
 
-// Platform is the stand-ins of the KV service and the host list, with the
-// bytes of their bodies counted.
+// Platform has the fakes of the KV service and the host list service, and meters
+// of their traffic.
 type Platform struct {
 	KV         *kv.Server
 	Hosts      *hosts.Server
@@ -24,7 +24,7 @@
 func (p *Platform) KVURL() string { return p.kvServer.URL() }
 
 func startPlatform() (*Platform, error) {
-	// No rate limit: the call rates are what is measured.
+	// The fake KV service has no rate limit, since call rates are measured.
 	p := &Platform{KV: kv.New(kv.Options{}), Hosts: hosts.New(hosts.Options{})}
 	p.KVBytes, p.HostsBytes = &Meter{next: p.KV}, &Meter{next: p.Hosts}
 	var err error
@@ -43,14 +43,15 @@
 	p.hostsServer.Close()
 }
 
-// Meter counts requests and the bytes of bodies in both directions.
+// Meter is an HTTP handler that counts requests and the bytes of request and
+// response bodies.
 type Meter struct {
 	next     http.Handler
 	requests atomic.Int64
 	bytes    atomic.Int64
 }
 
-// Totals returns the requests and bytes so far.
+// Totals returns the numbers of requests and bytes since the start.
 func (m *Meter) Totals() (requests, bytes int64) { return m.requests.Load(), m.bytes.Load() }
 
 // ServeHTTP implements http.Handler.
--- a/internal/bench/fleet/process.go
+++ b/internal/bench/fleet/process.go
@@ -16,18 +16,19 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// startLimit bounds the start of one daemon on a busy machine.
+// startLimit is the timeout for the start of one daemon. It allows for a busy
+// machine.
 const startLimit = 30 * time.Second
 
-// maxLogLine is the length of the longest log line read, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// Process is a running daemon.
+// Process is a daemon that runs as a process.
 type Process struct {
 	Role settings.Role
 	Host string
-	// Callers, Operators and Peers are "IP:port"; empty where the role has
-	// no such listener.
+	// Callers, Operators and Peers are the addresses of the listeners as
+	// "IP:port", empty if the role has no such listener.
 	Callers, Operators, Peers string
 
 	command *exec.Cmd
@@ -36,13 +37,14 @@
 	exited  chan struct{}
 
 	mu sync.Mutex
-	// inForce has the time at which each revision came into force here.
+	// inForce has the time at which each revision came into force at this
+	// daemon.
 	inForce map[int64]time.Time
-	// lastLine is the newest log line, for the error of a failed start.
+	// lastLine is the latest log line, for the error of a failed start.
 	lastLine string
 }
 
-// logLine is the part of a daemon's log line that measurements read.
+// logLine has the attributes of a daemon's log line that measurements use.
 type logLine struct {
 	Time      time.Time `json:"time"`
 	Message   string    `json:"msg"`
@@ -65,22 +67,22 @@
 	if err := p.command.Start(); err != nil {
 		return nil, errors.Wrapf(err, "start %s", daemon)
 	}
-	go p.follow(logs)
+	go p.readLogs(logs)
 	return p, nil
 }
 
-// follow reads log lines until the process ends.
-func (p *Process) follow(logs io.Reader) {
+// readLogs reads log lines until the process exits.
+func (p *Process) readLogs(logs io.Reader) {
 	defer close(p.exited)
 	lines := bufio.NewScanner(logs)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		p.take(lines.Bytes())
+		p.handleLogLine(lines.Bytes())
 	}
 	_ = p.command.Wait()
 }
 
-func (p *Process) take(data []byte) {
+func (p *Process) handleLogLine(data []byte) {
 	var line logLine
 	if json.Unmarshal(data, &line) != nil {
 		return
@@ -104,7 +106,7 @@
 	case <-p.exited:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return errors.Newf("%s ended at its start: %s", p.Host, p.lastLine)
+		return errors.Newf("%s exited during startup: %s", p.Host, p.lastLine)
 	case <-time.After(startLimit):
 		return errors.Newf("%s did not start within %v", p.Host, startLimit)
 	case <-ctx.Done():
@@ -112,9 +114,9 @@
 	}
 }
 
-// InForceAt returns when a revision, or the first one after it, came into
-// force here; false if none has yet. A daemon that takes several changes at
-// once never shows those in between.
+// InForceAt returns the time at which the given revision or a later one first
+// came into force at this daemon, and false if none has. Later revisions count,
+// since a daemon that applies several changes at once logs only the last one.
 func (p *Process) InForceAt(revision int64) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,17 +129,18 @@
 	return first, !first.IsZero()
 }
 
-// Sample is a reading of a process's counters.
+// Sample has the CPU time, the resident memory in bytes and the metrics of a
+// process.
 type Sample struct {
 	CPU      time.Duration
 	Resident int64
 	Metrics  Metrics
 }
 
-// Sample reads the counters now.
+// Sample reads the current counters of the process.
 func (p *Process) Sample(ctx context.Context) (Sample, error) {
-	// Before the scrape, whose own cost then falls outside a window between
-	// two samples at one end only.
+	// The CPU time is read before the scrape, so that of two samples at the
+	// ends of a window only the scrape of the first adds to the window's CPU time.
 	cpu, err := cpuTime(p.command.Process.Pid)
 	if err != nil {
 		return Sample{}, err
@@ -150,7 +153,7 @@
 	return Sample{CPU: cpu, Resident: resident, Metrics: metrics}, err
 }
 
-// kill ends the process, by its own id.
+// kill kills the process by its PID and waits until it has exited.
 func (p *Process) kill() {
 	_ = p.command.Process.Kill()
 	<-p.exited
--- a/internal/bench/fleet/scrape.go
+++ b/internal/bench/fleet/scrape.go
@@ -10,11 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Metrics are a process's counters and gauges by name, summed over labels,
-// without the system's prefix.
+// Metrics has the values of a process's metrics by name, without the prefix
+// "nutmeglane_" and summed over labels.
 type Metrics map[string]float64
 
-// Names of metrics that measurements read.
+// Names of the metrics that measurements use. MetricStewardElections is above 0 at an
+// entry that has become the steward.
 const (
 	MetricReceived         = "wire_received_bytes_total"
 	MetricSent             = "wire_sent_bytes_total"
@@ -24,7 +25,7 @@
 
 const metricPrefix = "nutmeglane_"
 
-// scrape reads the text form of a process's metrics.
+// scrape reads a process's metrics in the text format.
 func scrape(ctx context.Context, client *http.Client, address string) (Metrics, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
@@ -43,7 +44,8 @@
 	return metrics, errors.Wrap(lines.Err(), "read metrics")
 }
 
-// addLine takes a sample line, "name{labels} value".
+// addLine adds the value of a sample line, "name{labels} value". It ignores all
+// other lines and metrics without the prefix.
 func (m Metrics) addLine(line string) {
 	rest, ours := strings.CutPrefix(line, metricPrefix)
 	if !ours {
--- a/internal/bench/fleet/settings.go
+++ b/internal/bench/fleet/settings.go
@@ -11,10 +11,10 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// freePort lets a daemon pick its port; it logs the one it got.
+// freePort makes a daemon listen on a free port, which it logs.
 const freePort = "127.0.0.1:0"
 
-// settingsMode keeps a written settings file to its owner.
+// settingsMode restricts access to a settings file to its owner.
 const settingsMode = 0o600
 
 type listener struct {
@@ -30,8 +30,8 @@
 	URL  string           `json:"url"`
 }
 
-// settingsFile is the form of a daemon's settings, with all that is left out
-// at its default.
+// settingsFile is the JSON form of a daemon's settings file. Settings that it
+// lacks have their defaults.
 type settingsFile struct {
 	Role      settings.Role `json:"role"`
 	Host      string        `json:"host"`
@@ -45,7 +45,7 @@
 	Backend   *backend      `json:"backend,omitempty"`
 }
 
-func (f *Fleet) common(role settings.Role, host string, zone core.Zone) settingsFile {
+func (f *Fleet) commonSettings(role settings.Role, host string, zone core.Zone) settingsFile {
 	return settingsFile{
 		Role: role, Host: host, Zone: zone, Operators: listener{freePort},
 		Hosts: address{f.Platform.hostsServer.URL() + "/hosts"}, StopLimit: "2s",
--- a/internal/bench/fleet/usage.go
+++ b/internal/bench/fleet/usage.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// cpuTime returns the time that a process has run, from the nanosecond counts
-// of its threads. The ticks of /proc/PID/stat, 10 ms each, are too coarse for
-// a daemon that runs a few milliseconds a second. A thread that ended is not
-// counted; threads of the Go runtime hardly ever end.
+// cpuTime returns the CPU time of a process, summed over the nanosecond counters
+// of its threads. The ticks of /proc/PID/stat, 10 ms each, are too coarse for a
+// daemon that runs a few milliseconds per second. Threads that have exited are not
+// counted; threads of the Go runtime rarely exit.
 func cpuTime(pid int) (time.Duration, error) {
 	directory := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(directory)
@@ -40,7 +40,7 @@
 	return total, nil
 }
 
-// residentBytes returns the memory that a process has resident.
+// residentBytes returns the resident memory of a process in bytes.
 func residentBytes(pid int) (int64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -53,11 +53,11 @@
 			return kib << 10, errors.Wrap(err, "parse VmRSS")
 		}
 	}
-	return 0, errors.New("no VmRSS")
+	return 0, errors.New("no VmRSS line in /proc/PID/status")
 }
 
-// MachineLoad returns the one-minute load average, which tells how busy other
-// work kept the machine during a measurement.
+// MachineLoad returns the load average of the machine over one minute, which
+// shows whether other processes disturbed a measurement, or "unknown".
 func MachineLoad() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -67,7 +67,7 @@
 	return first
 }
 
-// OwnCPU returns the time that the calling process has run.
+// OwnCPU returns the CPU time of the calling process, 0 if it can't be read.
 func OwnCPU() time.Duration {
 	cpu, err := cpuTime(os.Getpid())
 	if err != nil {
