--- a/internal/bench/overhead/caller.go
+++ b/internal/bench/overhead/caller.go
@@ -16,20 +16,22 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// caller sends completions to the entry or straight to an engine, with one
-// HTTP client for both.
+// caller sends completion requests to the entry or directly to an engine, with
+// the same HTTP client.
 type caller struct {
 	client *http.Client
 	opts   Options
-	// callers is the entry's address, engines the base URLs by model.
+	// callers is the address of the entry for callers. engines has the base
+	// URLs of the engines; any of them may have a model.
 	callers string
 	engines []string
-	sample  func(context.Context) (usage, error)
-	// tokens and answers count what arrived.
+	// sample reads the CPU times.
+	sample func(context.Context) (usage, error)
+	// tokens counts the tokens received, answers the complete answers.
 	tokens, answers atomic.Int64
 }
 
-// usage is the processor time of the two roles so far.
+// usage is the cumulative CPU time of the two roles.
 type usage struct {
 	entry, agents time.Duration
 }
@@ -64,8 +66,8 @@
 
 func (c *caller) close() { c.client.CloseIdleConnections() }
 
-// through asks the entry and returns the time to the first token. It fails
-// unless the answer has as many tokens as asked for.
+// through sends a request to the entry and returns the time to the first token.
+// It fails if the answer does not have the requested number of tokens.
 func (c *caller) through(ctx context.Context, model, tokens int) (time.Duration, error) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"kitchen: tap drips"}]}`,
 		fleet.ModelName(model), tokens)
@@ -77,7 +79,7 @@
 	return c.send(request, []byte(`"delta":{"content":"`), []byte(`"delta":{"content":""`), tokens)
 }
 
-// awaitLoaded waits until every model is loaded and answers through the entry.
+// awaitLoaded waits until a request through the entry succeeds for every model.
 func (c *caller) awaitLoaded(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, warmLimit)
 	defer cancel()
@@ -95,12 +97,14 @@
 	return nil
 }
 
-// direct asks the model's engine itself.
+// direct sends a request directly to the engine that has the model loaded and
+// returns the time to the first token.
 func (c *caller) direct(ctx context.Context, model, tokens int) (time.Duration, error) {
 	body := fmt.Sprintf(`{"max_tokens":%d,"messages":[{"role":"user","content":"kitchen: tap drips"}]}`, tokens)
 	var last error
 	for i := range c.engines {
-		// The steward placed the model; which engine has it is found by asking.
+		// The steward chose the engine of the model, so the engines are tried in
+		// turn.
 		url := c.engines[(model+i)%len(c.engines)] + engineapi.PathCompletions
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 		if err != nil {
@@ -116,7 +120,9 @@
 	return 0, last
 }
 
-// send counts the lines that hold a token. Lines that match skip do not.
+// send sends a request and returns the time to the first token. Lines of the
+// answer that contain token and do not contain skip count as one token each. It
+// fails unless want tokens arrive.
 func (c *caller) send(request *http.Request, token, skip []byte, want int) (time.Duration, error) {
 	begin := time.Now()
 	response, err := c.client.Do(request)
@@ -145,7 +151,7 @@
 		return 0, errors.Wrap(err, "read answer")
 	}
 	if got != want {
-		return 0, errors.Newf("%d tokens of %d", got, want)
+		return 0, errors.Newf("received %d tokens, want %d", got, want)
 	}
 	c.answers.Add(1)
 	return first, nil
--- a/internal/bench/overhead/doc.go
+++ b/internal/bench/overhead/doc.go
@@ -1,5 +1,5 @@
-// Package overhead measures what an entry and an agent add to a request: the
-// time to the first token beside a direct call of the engine, and the
-// processor time per request and per token with many streams open. Daemons run
-// as separate processes; for a profile they run in the calling one.
+// Package overhead measures the overhead of an entry and an agent: the time to
+// the first token compared with a direct call of the engine, and the CPU time per
+// request and per token with many concurrent streams. Daemons run as separate
+// processes, or in the calling process if a CPU profile is wanted.
 package overhead
--- a/internal/bench/overhead/firsttoken.go
+++ b/internal/bench/overhead/firsttoken.go
@@ -12,17 +12,19 @@
 )
 
 // FirstToken compares the time to the first token through entry and agent with
-// that of a direct call of the engine, in turn in one run.
+// that of a direct call of the engine. Both kinds of call alternate in one run.
 type FirstToken struct {
 	Direct  Quantiles `json:"direct"`
 	Through Quantiles `json:"through"`
-	// RatioP50 and RatioP99 are Through over Direct.
+	// RatioP50 and RatioP99 are the quantiles of Through divided by those of
+	// Direct.
 	RatioP50    float64 `json:"ratio_p50"`
 	RatioP99    float64 `json:"ratio_p99"`
 	MachineLoad string  `json:"machine_load"`
 }
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles has quantiles of a latency in milliseconds. Count is the number of
+// calls.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -31,7 +33,7 @@
 }
 
 const (
-	// firstTokenRate is the calls a second of each kind.
+	// firstTokenRate is the number of calls of each kind per second.
 	firstTokenRate = 50
 	// firstTokenLength is the number of tokens of each answer.
 	firstTokenLength = 4
@@ -43,8 +45,8 @@
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
-// measureFirstToken sends direct calls and calls through the system in turn,
-// at a steady rate that does not wait for answers.
+// measureFirstToken sends pairs of a direct call and a call through the entry at a
+// constant rate, without waiting for the answers of earlier pairs.
 func (c *caller) measureFirstToken(ctx context.Context) (FirstToken, error) {
 	direct := hdrhistogram.New(1, highestMicros, 3)
 	through := hdrhistogram.New(1, highestMicros, 3)
@@ -60,7 +62,7 @@
 	var group errgroup.Group
 	count := int(c.opts.Window.Seconds() * firstTokenRate)
 	for i := range count {
-		group.Go(func() error { return c.pair(ctx, i, times) })
+		group.Go(func() error { return c.measurePair(ctx, i, times) })
 		if err := pause(ctx, time.Second/firstTokenRate); err != nil {
 			break
 		}
@@ -76,8 +78,9 @@
 	return result, errors.CombineErrors(err, ctx.Err())
 }
 
-// pair sends one call of each kind, the one or the other first.
-func (c *caller) pair(ctx context.Context, i int, times chan<- [2]time.Duration) error {
+// measurePair sends one call of each kind, one after the other, and reports both
+// times to the first token. The order alternates with i.
+func (c *caller) measurePair(ctx context.Context, i int, times chan<- [2]time.Duration) error {
 	calls := [2]func(context.Context, int, int) (time.Duration, error){c.direct, c.through}
 	var taken [2]time.Duration
 	for n := range calls {
--- a/internal/bench/overhead/overhead_test.go
+++ b/internal/bench/overhead/overhead_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { selfexec.Main(m) }
 
-// A small run through real processes carries what was asked for: every answer
-// has all its tokens, or the run fails.
+// Runs a small measurement with real processes. Run fails if any answer lacks
+// tokens.
 func TestRun(t *testing.T) {
 	t.Setenv(selfexec.Variable, "1")
 	binary, err := os.Executable()
@@ -39,7 +39,7 @@
 	}
 }
 
-// A profile is written by a run of the whole system in this process.
+// A run with Profile set must write a CPU profile.
 func TestProfile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "cpu.pprof")
 	_, err := overhead.Run(t.Context(), overhead.Options{
--- a/internal/bench/overhead/profile.go
+++ b/internal/bench/overhead/profile.go
@@ -22,11 +22,11 @@
 	"nutmeglane.example/nutmeglane/internal/standin/kv"
 )
 
-// roleLabel is the profile's label by which the roles are told apart:
+// roleLabel is the profile label with the role that the CPU time belongs to:
 // go tool pprof -tagfocus role=entry FILE.
 const roleLabel = "role"
 
-// embedded is a whole system in this process.
+// embedded has an entry, agents and the fakes that they use, all in this process.
 type embedded struct {
 	servers []*dev.Server
 	kvURL   string
@@ -38,7 +38,8 @@
 	stop    context.CancelFunc
 }
 
-// profile writes a processor profile of the streams.
+// profile measures throughput with embedded daemons and writes a CPU profile to
+// opts.Profile.
 func (r *Result) profile(ctx context.Context, opts Options) error {
 	e, err := startEmbedded(ctx, opts)
 	if e != nil {
@@ -63,11 +64,12 @@
 	}
 	defer pprof.StopCPUProfile()
 	t, err := c.measureThroughput(ctx, opts.Streams, int(opts.TokenRates[0]*streamSeconds))
-	fmt.Fprintf(opts.Progress, "profiled %.0f tokens/s; processor time includes callers and engines\n", t.TokensPerSecond)
+	fmt.Fprintf(opts.Progress, "profiled %.0f tokens/s; CPU time includes callers and engines\n", t.TokensPerSecond)
 	return err
 }
 
-// labelled runs f, and all that it starts, under a role's label.
+// labelled runs f with the label of a role, which goroutines that f starts
+// inherit.
 func labelled(ctx context.Context, role string, f func(context.Context) error) (err error) {
 	pprof.Do(ctx, pprof.Labels(roleLabel, role), func(ctx context.Context) { err = f(ctx) })
 	return err
@@ -123,7 +125,7 @@
 
 const anyPort = "127.0.0.1:0"
 
-func (e *embedded) common(c *settings.Common, role settings.Role, host string) {
+func (e *embedded) fillCommon(c *settings.Common, role settings.Role, host string) {
 	c.Role, c.Host, c.Zone = role, core.HostID(host), "zone-1"
 	c.Operators.Listen = netip.MustParseAddrPort(anyPort)
 	c.Hosts.URL = e.hostURL + "/hosts"
@@ -131,7 +133,7 @@
 
 func (e *embedded) startEntry(ctx context.Context) error {
 	s := settings.DefaultEntry()
-	e.common(&s.Common, settings.RoleEntry, "entry-1")
+	e.fillCommon(&s.Common, settings.RoleEntry, "entry-1")
 	s.Callers.Listen = netip.MustParseAddrPort(anyPort)
 	s.KV.URL = e.kvURL
 	var err error
@@ -154,7 +156,7 @@
 	}
 	return labelled(ctx, "agent", func(ctx context.Context) error {
 		s := settings.DefaultAgent()
-		e.common(&s.Common, settings.RoleAgent, fmt.Sprintf("agent-%d", i))
+		e.fillCommon(&s.Common, settings.RoleAgent, fmt.Sprintf("agent-%d", i))
 		s.Peers.Listen = netip.MustParseAddrPort(anyPort)
 		s.Backend = settings.Backend{Kind: core.BackendEngine, URL: url}
 		agent, err := daemon.NewAgent(s, slog.New(slog.DiscardHandler))
--- a/internal/bench/overhead/result.go
+++ b/internal/bench/overhead/result.go
@@ -10,14 +10,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Result is what a run measured.
+// Result has the measurements of a run.
 type Result struct {
 	Started    time.Time    `json:"started"`
 	Agents     int          `json:"agents"`
 	Streams    int          `json:"streams"`
 	FirstToken FirstToken   `json:"first_token"`
 	Throughput []Throughput `json:"throughput"`
-	// Requests is the throughput of short answers.
+	// Requests is the throughput with answers of one token.
 	Requests Throughput `json:"requests"`
 }
 
--- a/internal/bench/overhead/run.go
+++ b/internal/bench/overhead/run.go
@@ -13,27 +13,30 @@
 	"nutmeglane.example/nutmeglane/internal/standin/engine"
 )
 
-// Options configure a run. Zero fields, but Daemon, have defaults.
+// Options configure a run. All fields except Daemon have defaults, which apply
+// where they are zero.
 type Options struct {
 	// Daemon is the path of the nutmeglaned binary.
 	Daemon string
-	// Agents serve one model each; one entry is before them. Default 4.
+	// Agents is the number of agents behind the one entry, each with one model.
+	// Default 4.
 	Agents int
-	// Streams are open at once while throughput is measured. Default 1000.
+	// Streams is the number of concurrent streams while throughput is measured.
+	// Default 1000.
 	Streams int
-	// TokenRates are the tokens a second of each stream, one measurement
+	// TokenRates has the tokens per second of each stream, for one measurement
 	// each. Default 40 and 200.
 	TokenRates []float64
 	// Window is the length of each measurement. Default 15 s.
 	Window time.Duration
-	// Ramp is the time over which streams begin, so that they are spread over
-	// their course. Default 5 s.
+	// Ramp is the time over which the starts of the streams are spread, so that
+	// the streams are at different points of their answers. Default 5 s.
 	Ramp time.Duration
-	// Profile, if set, is a file for a processor profile. The daemons then
+	// Profile, if set, is the file to write a CPU profile to. The daemons then
 	// run in this process, and only the throughput at the first of TokenRates
 	// is measured.
 	Profile string
-	// Progress gets a line for each step. Default none.
+	// Progress receives one line of text for each step. Default io.Discard.
 	Progress io.Writer
 }
 
@@ -51,18 +54,23 @@
 	return o
 }
 
-// Times of a run.
+// Timing and concurrency of a run.
 const (
+	// warmLimit is the timeout for bringing the configuration in force, and for
+	// loading the models.
 	warmLimit = time.Minute
-	// warmRetry is the pause between two looks whether a model is loaded.
+	// warmRetry is the interval between attempts to apply the configuration or to
+	// use a model that is not loaded.
 	warmRetry = 500 * time.Millisecond
-	// streamSeconds is about how long each stream lasts.
+	// streamSeconds is the approximate duration of each stream.
 	streamSeconds = 5
-	// replicaConcurrency is the number of requests one replica runs at a time.
+	// replicaConcurrency is the number of requests that a replica runs
+	// concurrently.
 	replicaConcurrency = 1024
 )
 
-// Run measures. On an error it returns what was measured before.
+// Run runs the measurements. If one fails, Run returns the measurements before the
+// failure together with the error.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	opts = opts.withDefaults()
 	result := &Result{Started: time.Now().UTC(), Agents: opts.Agents, Streams: opts.Streams}
@@ -77,8 +85,9 @@
 	return result, nil
 }
 
-// measureRate runs one fleet whose engines give tokens at a rate. The first
-// one also measures latency and requests.
+// measureRate starts a fleet whose engines generate tokens at the given rate and
+// measures its throughput. If first is set, it also measures the time to the first
+// token and the throughput with short answers.
 func (r *Result) measureRate(ctx context.Context, opts Options, rate float64, first bool) error {
 	f, err := fleet.Start(ctx, fleet.Options{
 		Daemon: opts.Daemon, Entries: 1, Agents: opts.Agents,
@@ -118,8 +127,8 @@
 	return err
 }
 
-// requestStreams is the number of callers, each of which asks for one token
-// after the other.
+// requestStreams is the number of concurrent callers, each of which sends requests
+// for one token one after the other.
 const requestStreams = 64
 
 func warm(ctx context.Context, f *fleet.Fleet, opts Options) error {
--- a/internal/bench/overhead/throughput.go
+++ b/internal/bench/overhead/throughput.go
@@ -10,27 +10,30 @@
 	"nutmeglane.example/nutmeglane/internal/bench/fleet"
 )
 
-// Throughput is what entry and agents carried and what it cost them.
+// Throughput is the traffic through entry and agents and the CPU time that they
+// used for it.
 type Throughput struct {
-	// Streams were open all the time, a new one as soon as one ended.
+	// Streams is the number of concurrent streams. Each stream that ends is
+	// replaced at once.
 	Streams int `json:"streams"`
-	// TokensPerStream is the rate of one stream.
+	// TokensPerStream is the token rate of one stream per second, 0 in the
+	// measurement of short answers.
 	TokensPerStream   float64 `json:"tokens_per_second_and_stream"`
 	Seconds           float64 `json:"seconds"`
 	TokensPerSecond   float64 `json:"tokens_per_second"`
 	RequestsPerSecond float64 `json:"requests_per_second"`
-	// EntryCores and AgentCores are the cores in use by the role.
+	// EntryCores and AgentCores are the mean numbers of cores that the role used.
 	EntryCores float64 `json:"entry_cores"`
 	AgentCores float64 `json:"agent_cores"`
-	// TokensPerCore and RequestsPerCore are per second of processor time of
-	// entry and agents together.
+	// TokensPerCore and RequestsPerCore are per second of CPU time of entry and
+	// agents together.
 	TokensPerCore   float64 `json:"tokens_per_core"`
 	RequestsPerCore float64 `json:"requests_per_core"`
 	MachineLoad     string  `json:"machine_load"`
 }
 
-// measureThroughput keeps streams open through the entry and measures after
-// they have spread over their course.
+// measureThroughput keeps the given number of streams through the entry open and
+// measures them once their starts have been spread over Ramp.
 func (c *caller) measureThroughput(ctx context.Context, streams, tokens int) (Throughput, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -48,8 +51,8 @@
 	return t, errors.CombineErrors(streamErr, err)
 }
 
-// keepStreaming asks for one answer after the other until ctx ends. The first
-// one begins late, so that the streams are spread.
+// keepStreaming sends one request after the other until ctx ends. The i-th
+// stream starts with a delay, so that the starts are spread over Ramp.
 func (c *caller) keepStreaming(ctx context.Context, i, streams, tokens int) error {
 	if err := pause(ctx, c.opts.Ramp*time.Duration(i)/time.Duration(streams)); err != nil {
 		return nil
@@ -65,6 +68,8 @@
 	}
 }
 
+// observe measures traffic and CPU time during the window, which starts after
+// twice Ramp.
 func (c *caller) observe(ctx context.Context) (Throughput, error) {
 	if err := pause(ctx, 2*c.opts.Ramp); err != nil {
 		return Throughput{}, err
