--- a/internal/bench/overload/doc.go
+++ b/internal/bench/overload/doc.go
@@ -1,5 +1,5 @@
-// Package overload measures what a small system of separate processes does
-// with more load than it can carry: goodput and refusals at multiples of its
-// capacity, one client account's first tokens while another floods the system, and
-// an interactive burst in the middle of batch work.
+// Package overload measures a small fleet of daemon processes under overload:
+// goodput and refusals at multiples of its capacity, the time to the first token of
+// one client account while another sends far more than the capacity, and that of
+// interactive bursts while batch requests run.
 package overload
--- a/internal/bench/overload/overload_test.go
+++ b/internal/bench/overload/overload_test.go
@@ -13,9 +13,10 @@
 
 func TestMain(m *testing.M) { selfexec.Main(m) }
 
-// Five times the capacity, a flood and a burst in batch work go through real
-// processes. Whatever the machine's speed: each request is answered whole or
-// refused with the time to come back, and none is lost, doubled or crossed.
+// Runs all measurements, with up to ten times the capacity, on real processes. At
+// any speed of the machine each request must get a complete answer or a refusal
+// with a retry time, and no answer may be lost, duplicated or sent to the wrong
+// caller.
 func TestRun(t *testing.T) {
 	t.Setenv(selfexec.Variable, "1")
 	binary, err := os.Executable()
@@ -48,6 +49,6 @@
 		t.Errorf("%s: %+v", name, traffic)
 	}
 	if traffic.Outcomes[load.OutcomeOK] == 0 {
-		t.Errorf("%s: nobody was answered: %+v", name, traffic)
+		t.Errorf("%s: no request was answered: %+v", name, traffic)
 	}
 }
--- a/internal/bench/overload/plan.go
+++ b/internal/bench/overload/plan.go
@@ -8,7 +8,7 @@
 	"nutmeglane.example/nutmeglane/internal/load"
 )
 
-// client account is one who calls the system.
+// account is a client account with its API key.
 type account struct{ name, key string }
 
 var (
@@ -19,18 +19,22 @@
 const (
 	callTimeout  = 2 * time.Second
 	batchTimeout = 20 * time.Second
-	// fillPart of the window is sent before what is measured. Requests count by
-	// their arrival: those that find the queues empty are answered out of turn.
-	fillPart = 4
-	// burstsPerWindow is the number of bursts that are measured.
+	// fillDivisor divides the window to give the length of the phase that fills
+	// the queues before the measured phase. Requests belong to the phase in which
+	// they arrive, and those that arrive at empty queues would be answered earlier
+	// than under steady load.
+	fillDivisor = 4
+	// burstsPerWindow is the number of bursts in the measured phase.
 	burstsPerWindow = 6
-	// maxGrace is how long the referees are left to see a late run.
+	// maxGrace limits the wait after the load in which the referees can still
+	// detect late runs.
 	maxGrace = 2 * time.Second
-	// measuredPhase is the phase that counts.
+	// measuredPhase is the name of the phase that results are taken from.
 	measuredPhase = "measured"
-	// maxOpen is above what any of the loads keeps open.
+	// maxOpen is the limit on open requests. No load of the measurement
+	// reaches it.
 	maxOpen = 20_000
-	// seed makes runs comparable.
+	// seed is the same in all runs, so that they are comparable.
 	seed = 5
 )
 
@@ -39,7 +43,7 @@
 		Seed: seed, MaxOpen: maxOpen, Classes: classes,
 		Grace: load.Duration(min(maxGrace, b.opts.Window)),
 		Phases: []load.Phase{
-			{Name: "fill", Duration: load.Duration(b.opts.Window / fillPart), Multiplier: 1},
+			{Name: "fill", Duration: load.Duration(b.opts.Window / fillDivisor), Multiplier: 1},
 			{Name: measuredPhase, Duration: load.Duration(b.opts.Window), Multiplier: 1},
 		},
 		Versions: map[string]string{fleet.ModelName(0): fleet.CheckpointVersion},
@@ -53,17 +57,19 @@
 	return plan
 }
 
-// class is steady interactive traffic at a multiple of the capacity.
-func (b *bench) class(c account, multiplier float64) load.Class {
-	class := b.calls(c, callTimeout)
+// steadyClass returns interactive requests with Poisson arrivals at a multiple of
+// the capacity.
+func (b *bench) steadyClass(c account, multiplier float64) load.Class {
+	class := b.newClass(c, callTimeout)
 	class.Priority = api.PriorityInteractive
 	class.Poisson = &load.Poisson{PerSecond: multiplier * b.opts.capacity()}
 	return class
 }
 
-// burst wants half of all places at once.
-func (b *bench) burst() load.Class {
-	class := b.calls(small, callTimeout)
+// burstClass returns interactive bursts, each of which has half as many requests
+// as all replicas can run concurrently.
+func (b *bench) burstClass() load.Class {
+	class := b.newClass(small, callTimeout)
 	class.Priority = api.PriorityInteractive
 	class.Bursts = &load.Bursts{
 		Size: max(1, b.opts.Agents*b.opts.MaxConcurrent/2), Every: load.Duration(b.opts.Window / burstsPerWindow),
@@ -71,15 +77,16 @@
 	return class
 }
 
-// batch is patient work of the large client account, more than the system carries.
-func (b *bench) batch() load.Class {
-	class := b.calls(large, batchTimeout)
+// batchClass returns batch requests of the large client account, with a long
+// timeout and at a rate above the capacity.
+func (b *bench) batchClass() load.Class {
+	class := b.newClass(large, batchTimeout)
 	class.Priority = api.PriorityBatch
 	class.Poisson = &load.Poisson{PerSecond: batchMultiplier * b.opts.capacity()}
 	return class
 }
 
-func (b *bench) calls(c account, timeout time.Duration) load.Class {
+func (b *bench) newClass(c account, timeout time.Duration) load.Class {
 	return load.Class{
 		Name: c.name, APIKey: c.key, StreamShare: 1, Timeout: load.Duration(timeout),
 		Calls:     []load.Call{{Models: []string{fleet.ModelName(0)}}},
--- a/internal/bench/overload/result.go
+++ b/internal/bench/overload/result.go
@@ -15,19 +15,20 @@
 	"nutmeglane.example/nutmeglane/internal/load"
 )
 
-// Result is what a run measured.
+// Result has the measurements of a run.
 type Result struct {
 	Started time.Time `json:"started"`
 	Entries int       `json:"entries"`
 	Agents  int       `json:"agents"`
-	// CapacityPerSecond is the most requests a second, by places and token rate.
+	// CapacityPerSecond is the maximum rate of requests, calculated from the
+	// concurrency of the replicas and the token rate.
 	CapacityPerSecond float64    `json:"capacity_per_second"`
 	Points            []Point    `json:"points"`
 	Flood             Comparison `json:"flood"`
 	Burst             Comparison `json:"burst"`
 }
 
-// Point is the load at one multiple of the capacity.
+// Point is the measurement at one multiple of the capacity.
 type Point struct {
 	Multiplier       float64 `json:"multiplier"`
 	SentPerSecond    float64 `json:"sent_per_second"`
@@ -36,22 +37,24 @@
 	MachineLoad string `json:"machine_load"`
 }
 
-// Traffic is what became of one class of requests.
+// Traffic has the outcomes and latencies of one class of requests.
 type Traffic struct {
 	Sent     int                  `json:"sent"`
 	Outcomes map[load.Outcome]int `json:"outcomes"`
-	// Refusal is the time to a refusal, in milliseconds.
+	// Refusal and FirstToken are the times to a refusal and to the first
+	// token, in milliseconds.
 	Refusal    load.Quantiles `json:"refusal"`
 	FirstToken load.Quantiles `json:"first_token"`
 	Faults     int            `json:"faults"`
 	Bounds     []load.Bound   `json:"bounds"`
 }
 
-// Comparison is one class alone and beside other load.
+// Comparison compares one class without and with other load. RatioP99 is the p99
+// time to the first token of Beside divided by that of Alone.
 type Comparison struct {
 	Alone  Traffic `json:"alone"`
 	Beside Traffic `json:"beside"`
-	// Other is the other load.
+	// Other is the traffic of the other load.
 	Other       Traffic `json:"other"`
 	RatioP99    float64 `json:"ratio_p99"`
 	MachineLoad string  `json:"machine_load"`
@@ -71,7 +74,8 @@
 	return s.Phases[i]
 }
 
-// traffic takes the faults of the whole run: referees judge no class.
+// traffic returns the traffic of an account in the measured phase. Faults are those
+// of the whole run, since the referees do not count them by class.
 func traffic(s *load.Summary, c account) Traffic {
 	i := slices.IndexFunc(s.Series, func(s load.Series) bool { return s.Class == c.name && s.Phase == measuredPhase })
 	series := s.Series[i]
@@ -92,7 +96,8 @@
 	return c
 }
 
-// GoodputKept is the goodput at the highest multiple as a part of the peak.
+// GoodputKept returns the goodput of the last point as a fraction of the highest
+// goodput of all points.
 func (r *Result) GoodputKept() float64 {
 	var peak, last float64
 	for _, p := range r.Points {
@@ -141,8 +146,9 @@
 		t.Refusal.Count, t.Refusal.P99, t.FirstToken.P50, t.FirstToken.P99, ratio, t.Faults, machineLoad)
 }
 
-// writeOutcomes lists how requests ended, and the bounds of the load tool that
-// took effect: with one of these the load was not the one meant.
+// writeOutcomes lists the numbers of requests by outcome, and the limits of the
+// load generator that took effect. With such a limit the load differed from the
+// planned one.
 func (r *Result) writeOutcomes(to io.Writer) error {
 	fmt.Fprintln(to, "\nend of requests, by code:")
 	for _, p := range r.Points {
--- a/internal/bench/overload/run.go
+++ b/internal/bench/overload/run.go
@@ -14,26 +14,27 @@
 	"nutmeglane.example/nutmeglane/internal/standin/engine"
 )
 
-// Options configure a run. Zero fields, but Daemon, have defaults.
+// Options configure a run. All fields except Daemon have defaults, which apply
+// where they are zero.
 type Options struct {
 	// Daemon is the path of the nutmeglaned binary.
 	Daemon string
-	// Entries and Agents are the numbers of processes. Each agent holds a
-	// replica of the one model. Default 2 and 2.
+	// Entries and Agents are the numbers of processes. Each agent has a replica
+	// of the only model. Default 2 and 2.
 	Entries, Agents int
-	// MaxConcurrent is the number of requests that a replica runs at a time.
+	// MaxConcurrent is the number of requests that a replica runs concurrently.
 	// Default 8.
 	MaxConcurrent int
-	// TokensPerSecond is the rate of each stream, and Tokens the length of
+	// TokensPerSecond is the token rate of each stream, Tokens the length of
 	// each answer. Default 100 and 20.
 	TokensPerSecond float64
 	Tokens          int
-	// Multipliers of the capacity are measured one after the other. Default
+	// Multipliers are the multiples of the capacity to measure, in order. Default
 	// 0.5, 1, 2 and 5.
 	Multipliers []float64
 	// Window is the length of each measurement. Default 12 s.
 	Window time.Duration
-	// Progress gets a line for each step. Default none.
+	// Progress receives one line of text for each step. Default io.Discard.
 	Progress io.Writer
 }
 
@@ -53,30 +54,34 @@
 	return o
 }
 
-// capacity is the requests a second that all replicas carry at most.
+// capacity returns the maximum rate of requests per second of all replicas.
 func (o Options) capacity() float64 {
 	return float64(o.Agents*o.MaxConcurrent) * o.TokensPerSecond / float64(o.Tokens)
 }
 
 const (
-	// floodMultiplier is the load of the client account that floods the system.
+	// floodMultiplier is the load of the large client account in the flood, as a
+	// multiple of the capacity.
 	floodMultiplier = 10
-	// smallShare is the load of the small client account, as a part of the capacity.
+	// smallShare is the load of the small client account as a fraction of the
+	// capacity.
 	smallShare = 0.1
-	// batchMultiplier is the load of batch work around the burst.
+	// batchMultiplier is the load of batch requests during the bursts, as a
+	// multiple of the capacity.
 	batchMultiplier = 2
-	// warmLimit bounds the time until the model is loaded everywhere.
+	// warmLimit is the timeout for loading the model at all engines.
 	warmLimit = time.Minute
 )
 
-// bench is a run under way.
+// bench is a run in progress.
 type bench struct {
 	opts   Options
 	fleet  *fleet.Fleet
 	result *Result
 }
 
-// Run measures. On an error it returns what was measured before.
+// Run runs the measurements. If one fails, Run returns the measurements before the
+// failure together with the error.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	opts = opts.withDefaults()
 	b := &bench{opts: opts, result: &Result{
@@ -103,10 +108,11 @@
 	return b.result, nil
 }
 
-// measurePoints sends one client account's load at each multiple of the capacity.
+// measurePoints sends the large client account's requests at each multiple of the
+// capacity.
 func (b *bench) measurePoints(ctx context.Context) error {
 	for _, multiplier := range b.opts.Multipliers {
-		summary, err := b.load(ctx, b.class(large, multiplier))
+		summary, err := b.load(ctx, b.steadyClass(large, multiplier))
 		if err != nil {
 			return errors.Wrapf(err, "%gx", multiplier)
 		}
@@ -116,14 +122,14 @@
 	return nil
 }
 
-// measureFlood compares the small client account's first tokens without and with the
-// large client account's flood.
+// measureFlood compares the small client account's time to the first token without
+// and with the flood of the large client account.
 func (b *bench) measureFlood(ctx context.Context) error {
-	alone, err := b.load(ctx, b.class(small, smallShare))
+	alone, err := b.load(ctx, b.steadyClass(small, smallShare))
 	if err != nil {
 		return errors.Wrap(err, "small client account alone")
 	}
-	beside, err := b.load(ctx, b.class(small, smallShare), b.class(large, floodMultiplier))
+	beside, err := b.load(ctx, b.steadyClass(small, smallShare), b.steadyClass(large, floodMultiplier))
 	if err != nil {
 		return errors.Wrap(err, "flood")
 	}
@@ -132,23 +138,23 @@
 	return nil
 }
 
-// measureBurst compares interactive bursts on an idle system and in the middle
-// of batch work.
+// measureBurst compares the time to the first token of interactive bursts on an
+// idle system and during batch load.
 func (b *bench) measureBurst(ctx context.Context) error {
-	idle, err := b.load(ctx, b.burst())
+	idle, err := b.load(ctx, b.burstClass())
 	if err != nil {
 		return errors.Wrap(err, "burst on an idle system")
 	}
-	batch, err := b.load(ctx, b.burst(), b.batch())
+	batch, err := b.load(ctx, b.burstClass(), b.batchClass())
 	if err != nil {
-		return errors.Wrap(err, "burst in batch work")
+		return errors.Wrap(err, "burst during batch load")
 	}
 	b.result.Burst = compare(idle, batch)
 	fmt.Fprintf(b.opts.Progress, "burst: p99 ratio %.2f\n", b.result.Burst.RatioP99)
 	return nil
 }
 
-// load runs one plan of some classes on the warm system.
+// load sends the requests of the given classes and returns the summary.
 func (b *bench) load(ctx context.Context, classes ...load.Class) (*load.Summary, error) {
 	summary, err := load.Run(ctx, b.plan(classes), load.Options{})
 	if err == nil {
--- a/internal/bench/overload/warm.go
+++ b/internal/bench/overload/warm.go
@@ -15,11 +15,12 @@
 	"nutmeglane.example/nutmeglane/internal/engine/engineapi"
 )
 
-// warmRetry is the pause between two looks whether the model is loaded.
+// warmRetry is the interval between checks whether the model is loaded.
 const warmRetry = 100 * time.Millisecond
 
 // warm declares the model and the client accounts, waits until every engine has the
-// model loaded, and sends light load so that durations are learned.
+// model loaded, and sends the load of the first multiplier, so that the daemons have
+// estimates of durations.
 func (b *bench) warm(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, warmLimit)
 	defer cancel()
@@ -35,7 +36,7 @@
 			return err
 		}
 	}
-	summary, err := b.load(ctx, b.class(large, b.opts.Multipliers[0]))
+	summary, err := b.load(ctx, b.steadyClass(large, b.opts.Multipliers[0]))
 	if err != nil {
 		return err
 	}
@@ -70,7 +71,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.Wrapf(ctx.Err(), "nothing is loaded at %s", engine)
+			return errors.Wrapf(ctx.Err(), "no model is loaded at %s", engine)
 		}
 	}
 }
