--- a/internal/bench/policy/deployment.go
+++ b/internal/bench/policy/deployment.go
@@ -15,7 +15,7 @@
 	"nutmeglane.example/nutmeglane/internal/harness"
 )
 
-// The hosts. Rates are the defaults of the stand-ins for engine and store.
+// The hosts. Rates are the defaults of the fake engine and the fake weight store.
 const (
 	engineHosts     = 12
 	hostMemoryMiB   = 48 << 10
@@ -26,20 +26,22 @@
 	memoryMiBPerSec = 20000
 	loadFixed       = 500 * time.Millisecond
 	firstToken      = 30 * time.Millisecond
-	// cachedShare is the chance that a checkpoint is on a host's disk at the
-	// start: checkpoints are cached unevenly.
+	// cachedShare is the probability that a checkpoint is on the disk of a given
+	// host at the start. It is drawn for each host, so that caches differ.
 	cachedShare = 0.1
 )
 
-// deployment is one user's declarations and places.
+// deployment has the declarations and availability zones of an example deployment.
 type deployment struct {
 	name     string
 	snapshot *api.Snapshot
 	zones    []core.Zone
-	// services counts the hosts of its plain service.
+	// service is the name of the only service without models, services the
+	// number of its hosts.
 	service  string
 	services int
-	// peakModels are called most at the festival or the month's end.
+	// peakTasks are the name prefixes of the models and adapters that get more
+	// requests on the peak day.
 	peakTasks []string
 }
 
@@ -53,7 +55,7 @@
 		d.zones, d.service, d.services = []core.Zone{"yoff", "plateau", "ngor", "ouakam"}, "club-registry", 4
 		d.peakTasks = []string{"rule-answer", "wind-advisory", "marshal-briefing", "line-tangle", "crowd-notice"}
 	default:
-		return nil, errors.Newf("no deployment %q", name)
+		return nil, errors.Newf("unknown deployment %q", name)
 	}
 	var resources []api.Resource
 	files, err := fs.Glob(examples.Deployments, path.Join(name, "*.jsonc"))
@@ -75,7 +77,7 @@
 	return d, err
 }
 
-func (d *deployment) reprice(opts Options) {
+func (d *deployment) overridePrices(opts Options) {
 	if opts.ColdStartPrice != 0 {
 		d.snapshot.Deployment.ColdStartPrice = opts.ColdStartPrice
 	}
@@ -84,7 +86,8 @@
 	}
 }
 
-// sizes of a checkpoint, and the base's key of an adapter.
+// sizes has the key of a model or adapter, its accelerator memory and the size of
+// its checkpoint in MiB. base is the key of the base model of an adapter.
 type sizes struct {
 	key, base      string
 	memory, stored int64
@@ -106,7 +109,7 @@
 
 func (d *deployment) zone(i int) core.Zone { return d.zones[i%len(d.zones)] }
 
-// newWorld returns a world with the deployment's store.
+// newWorld returns a world with the deployment's weight store and configuration.
 func (d *deployment) newWorld(seed uint64) *harness.World {
 	w := harness.New(seed)
 	w.Store.Lanes = d.snapshot.Deployment.StoreLanes
@@ -116,8 +119,8 @@
 	return w
 }
 
-// newEngines returns the engines, with caches that are the same in each run of
-// a seed.
+// newEngines returns the engines. The contents of their caches depend on the seed
+// only.
 func (d *deployment) newEngines(w *harness.World, seed uint64) []*harness.Engine {
 	draw := rand.New(rand.NewPCG(seed, cacheStream))
 	var engines []*harness.Engine
@@ -137,7 +140,7 @@
 	return engines
 }
 
-// Streams of the seed.
+// Stream numbers of the random generators, which share the seed.
 const (
 	cacheStream = 101
 	traceStream = 102
--- a/internal/bench/policy/doc.go
+++ b/internal/bench/policy/doc.go
@@ -1,8 +1,8 @@
-// Package policy measures cold starts and idle accelerator hours of both
-// users' deployments. It drives the real reducers of entries and agents over
-// the fakes of package harness, on a seeded arrival trace, beside a naive
-// version on the same fakes and trace, and beside an oracle that knows the
-// arrivals. A run is a function of its Options.
+// Package policy measures cold starts and idle accelerator hours in the example
+// deployments. It runs the reducers of entries and agents against the fakes of
+// package harness on a seeded trace of arrivals, and compares them with a naive
+// policy on the same fakes and trace, and with an oracle that knows all arrivals.
+// Results depend on the Options only.
 package policy
 
 import (
@@ -12,17 +12,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options of a measurement. Zero values mean the defaults given.
+// Options configure a measurement. Fields that are zero have the given defaults.
 type Options struct {
-	// Deployments to measure. Default helvarin and agence.
+	// Deployments are the names of the deployments to measure. Default helvarin
+	// and agence.
 	Deployments []string
-	// Days of simulated time; the last of each seven is idle. Default 3, the
-	// first an ordinary day, the second a festival or peak, the third idle.
+	// Days is the number of simulated days. Of each seven days, the second is a
+	// peak day, the third and the seventh are idle, and the others are ordinary.
+	// Default 3.
 	Days int
-	// Seed of the trace and of all processes. Default 1.
+	// Seed is the seed of the trace and of all processes. Default 1.
 	Seed uint64
-	// NaiveTTLs are the fixed times to live of the naive version; the first
-	// is the one that targets refer to. Default 10, 5 and 30 minutes.
+	// NaiveTTLs are the times that the naive policy keeps a model loaded after
+	// its last request, one measurement each. Targets refer to the first.
+	// Default 10, 5 and 30 minutes.
 	NaiveTTLs []time.Duration
 	// ColdStartPrice and IdleHourPrice, if not 0, replace the prices of the
 	// declarations.
@@ -50,7 +53,7 @@
 	return o
 }
 
-// Run measures every deployment: nutmeglane, the naive version, the oracle.
+// Run measures nutmeglane, the naive policy and the oracle in each deployment.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	opts = opts.withDefaults()
 	result := &Result{Days: opts.Days, Seed: opts.Seed}
@@ -59,7 +62,7 @@
 		if err != nil {
 			return nil, err
 		}
-		d.reprice(opts)
+		d.overridePrices(opts)
 		part, err := runDeployment(ctx, d, opts)
 		if err != nil {
 			return nil, errors.Wrapf(err, "measure %s", name)
@@ -72,7 +75,7 @@
 func runDeployment(ctx context.Context, d *deployment, opts Options) (DeploymentResult, error) {
 	arrivals := makeTrace(d, opts)
 	part := DeploymentResult{Name: d.name, Requests: len(arrivals)}
-	row, err := runOurs(ctx, d, opts, arrivals)
+	row, err := runNutmeglane(ctx, d, opts, arrivals)
 	if err != nil {
 		return part, err
 	}
--- a/internal/bench/policy/measure.go
+++ b/internal/bench/policy/measure.go
@@ -9,15 +9,17 @@
 	"nutmeglane.example/nutmeglane/internal/harness"
 )
 
-// watch feeds a trace to a world and keeps, for each cold request, the floor
-// of its wait: the load alone, with no queue anywhere, from the nearest copy
-// that any host had when the first request came.
-type watch struct {
+// measurement plays a trace in a world and calculates for each cold request a lower
+// bound on its wait, the floor: the duration of the load without any queues, from
+// the fastest tier that any host had the checkpoint in when the first request
+// arrived.
+type measurement struct {
 	d       *deployment
 	world   *harness.World
 	engines []*harness.Engine
 	samples []sample
-	// floors and storeFloors are when a load begun now or before would end.
+	// floors and storeFloors have, by key, the end of the latest load in the
+	// calculation of the floor and of the floor from the weight store.
 	floors, storeFloors map[string]core.Time
 }
 
@@ -27,19 +29,19 @@
 	floor, storeFloor time.Duration
 }
 
-func newWatch(d *deployment, w *harness.World, engines []*harness.Engine) *watch {
-	return &watch{d: d, world: w, engines: engines, floors: map[string]core.Time{}, storeFloors: map[string]core.Time{}}
+func newMeasurement(d *deployment, w *harness.World, engines []*harness.Engine) *measurement {
+	return &measurement{d: d, world: w, engines: engines, floors: map[string]core.Time{}, storeFloors: map[string]core.Time{}}
 }
 
-// startUp is the time for the processes to meet before the trace begins.
-const startUp = 10 * time.Minute
+// startupTime is the time before the trace in which the processes connect.
+const startupTime = 10 * time.Minute
 
-// cooldown is the time after the trace in which what waits is answered.
-const cooldown = batchWait + time.Hour
+// drainTime is the time after the trace in which waiting requests are answered.
+const drainTime = batchTimeout + time.Hour
 
-// run plays the trace. Entries by number are given by name.
-func (m *watch) run(ctx context.Context, arrivals []arrival) error {
-	m.world.RunFor(startUp)
+// run plays the trace in the world.
+func (m *measurement) run(ctx context.Context, arrivals []arrival) error {
+	m.world.RunFor(startupTime)
 	begin := m.world.Now()
 	for i := range arrivals {
 		if i%64 == 0 && ctx.Err() != nil {
@@ -49,34 +51,36 @@
 		m.world.RunFor(max(0, at.Sub(m.world.Now())))
 		m.request(&arrivals[i])
 	}
-	m.world.RunFor(cooldown)
+	m.world.RunFor(drainTime)
 	m.world.Finish()
 	return ctx.Err()
 }
 
-func (m *watch) request(a *arrival) {
+func (m *measurement) request(a *arrival) {
 	s := sample{batch: a.batch}
-	s.floor, s.first = m.wait(m.floors, a, m.nearest)
-	s.storeFloor, _ = m.wait(m.storeFloors, a, func(sizes) core.Tier { return core.TierRemote })
+	s.floor, s.first = m.floorWait(m.floors, a, m.nearestTier)
+	s.storeFloor, _ = m.floorWait(m.storeFloors, a, func(sizes) core.Tier { return core.TierRemote })
 	s.outcome = m.world.Request(entryName(a.entry), core.RequestArrived{
 		ClientAccount: "bench", Target: a.target, Priority: priorityOf(a.batch), Timeout: a.timeout, Idempotent: true,
 	}, a.tokens)
 	m.samples = append(m.samples, s)
 }
 
-// wait returns the time to the end of the loads that the target lacks, and
-// whether this request is the first to wait for its own.
-func (m *watch) wait(ends map[string]core.Time, a *arrival, tier func(sizes) core.Tier) (time.Duration, bool) {
+// floorWait returns the time until the loads that the target needs would end, and
+// whether this request is the first to wait for the load of its own checkpoint.
+func (m *measurement) floorWait(ends map[string]core.Time, a *arrival, tier func(sizes) core.Tier) (time.Duration, bool) {
 	now, s := m.world.Now(), m.d.sizes(a.name)
 	ready := now
 	if s.base != "" {
-		ready, _ = m.ready(ends, now, m.d.sizes(a.target.Model), tier)
+		ready, _ = m.readyAt(ends, now, m.d.sizes(a.target.Model), tier)
 	}
-	ready, first := m.ready(ends, ready, s, tier)
+	ready, first := m.readyAt(ends, ready, s, tier)
 	return ready.Sub(now), first
 }
 
-func (m *watch) ready(ends map[string]core.Time, from core.Time, s sizes, tier func(sizes) core.Tier) (core.Time, bool) {
+// readyAt returns the time at which a checkpoint would be loaded if its load began
+// at from, and whether the request starts that load.
+func (m *measurement) readyAt(ends map[string]core.Time, from core.Time, s sizes, tier func(sizes) core.Tier) (core.Time, bool) {
 	for _, e := range m.engines {
 		if e.Loaded(s.key) {
 			return from, false
@@ -89,7 +93,7 @@
 	return ends[s.key], true
 }
 
-func (m *watch) nearest(s sizes) core.Tier {
+func (m *measurement) nearestTier(s sizes) core.Tier {
 	best := core.TierRemote
 	for _, e := range m.engines {
 		best = min(best, e.Tier(s.key))
@@ -97,8 +101,8 @@
 	return best
 }
 
-// row sums up the run.
-func (m *watch) row(name string) Row {
+// row returns the results of the run.
+func (m *measurement) row(name string) Row {
 	r := Row{Name: name, Violations: m.world.Referee.Violations, Loads: m.world.Referee.Loads, RefusalCodes: map[code.Code]int{}}
 	r.StoreReads, r.StoreBusiest = m.world.Store.Loads, m.world.Store.Busiest
 	r.IdleHours = m.world.Referee.IdleTime.Hours()
@@ -130,7 +134,7 @@
 		}
 	}
 	r.ColdRequests = len(waits)
-	r.price(waits, interactive, m.d.snapshot.Deployment)
+	r.sumCosts(waits, interactive, m.d.snapshot.Deployment)
 	r.P50, r.P99, r.Max = percentile(waits, 0.5), percentile(waits, 0.99), percentile(waits, 1)
 	r.AllP99 = percentile(all, 0.99)
 	r.InteractiveP99 = percentile(interactive, 0.99)
--- a/internal/bench/policy/naive.go
+++ b/internal/bench/policy/naive.go
@@ -12,46 +12,46 @@
 	"nutmeglane.example/nutmeglane/internal/harness"
 )
 
-// runNaive drives the naive version: a model or adapter stays loaded for a
-// fixed time after its last request, is loaded on the first host with room,
-// and a request goes to a random loaded replica. It is given more than it
-// could have: all entries share one view of the hosts without delay, so that
-// a burst is one load and never overcommits.
+// runNaive measures the naive policy: a model or adapter is loaded on the first host
+// with enough memory, stays loaded for a fixed time after its last request, and each
+// request goes to a random loaded replica. The policy has an advantage that a real
+// one could not have: all entries share one view of the hosts without delay, so that
+// a burst causes one load and memory is never overcommitted.
 func runNaive(ctx context.Context, d *deployment, opts Options, arrivals []arrival, ttl time.Duration) (Row, error) {
 	w := d.newWorld(opts.Seed)
 	engines := d.newEngines(w, opts.Seed)
-	b := &board{d: d, ttl: ttl, draw: rand.New(rand.NewPCG(opts.Seed, naiveStream))}
+	b := &sharedView{d: d, ttl: ttl, draw: rand.New(rand.NewPCG(opts.Seed, naiveStream))}
 	for i, e := range engines {
-		a := &naiveAgent{board: b, index: i, items: map[string]*naiveItem{}, next: core.Never}
+		a := &naiveAgent{view: b, index: i, items: map[string]*naiveItem{}, next: core.Never}
 		b.agents = append(b.agents, a)
-		w.Start(harnessHost(hostName(i), d.zone(i), core.RoleBackend), e, func(core.Incarnation) harness.Stepper { return a })
+		w.Start(newHost(hostName(i), d.zone(i), core.RoleBackend), e, func(core.Incarnation) harness.Stepper { return a })
 	}
 	for i := range opts.Entries {
-		e := &naiveEntry{board: b, host: entryName(i)}
-		w.Start(harnessHost(entryName(i), d.zone(i), core.RoleEntry), nil, func(core.Incarnation) harness.Stepper { return e })
+		e := &naiveEntry{view: b, host: entryName(i)}
+		w.Start(newHost(entryName(i), d.zone(i), core.RoleEntry), nil, func(core.Incarnation) harness.Stepper { return e })
 	}
-	m := newWatch(d, w, engines)
+	m := newMeasurement(d, w, engines)
 	if err := m.run(ctx, arrivals); err != nil {
 		return Row{}, err
 	}
 	r := m.row("naive, " + ttl.String())
-	// The naive version has no slots, so only its memory is judged.
+	// The naive policy has no slots, so only violations of memory limits count.
 	r.Violations = slices.DeleteFunc(r.Violations, func(v string) bool { return !strings.Contains(v, "memory") })
 	return r, nil
 }
 
-// board is the view of all hosts that the naive entries share.
-type board struct {
+// sharedView is the view of all hosts that the naive entries share.
+type sharedView struct {
 	d      *deployment
 	ttl    time.Duration
 	draw   *rand.Rand
 	agents []*naiveAgent
 }
 
-// choose returns a random host that holds the target, or the first with room
-// if there is none, or if all are at their limit of runs and the target may
-// have more replicas.
-func (b *board) choose(t core.Target) *naiveAgent {
+// choose returns a random host that has the target. If no host has it, or if all of
+// them run as many requests as allowed and the target may have more replicas, choose
+// returns the first other host with enough memory. It returns nil if there is none.
+func (b *sharedView) choose(t core.Target) *naiveAgent {
 	need := b.needs(t)
 	var holders []*naiveAgent
 	for _, a := range b.agents {
@@ -59,10 +59,10 @@
 			holders = append(holders, a)
 		}
 	}
-	if len(holders) > 0 && (len(holders) >= b.replicas(t) || !b.full(holders, t)) {
+	if len(holders) > 0 && (len(holders) >= b.replicas(t) || !b.allBusy(holders, t)) {
 		return holders[b.draw.IntN(len(holders))]
 	}
-	if a := b.newHolder(need); a != nil {
+	if a := b.chooseNewHolder(need); a != nil {
 		return a
 	}
 	if len(holders) > 0 {
@@ -71,31 +71,33 @@
 	return nil
 }
 
-// newHolder returns the first host with room that does not hold the target.
-func (b *board) newHolder(need []sizes) *naiveAgent {
+// chooseNewHolder returns the first host with enough memory that does not have the
+// target, nil if there is none.
+func (b *sharedView) chooseNewHolder(need []sizes) *naiveAgent {
 	wanted := need[len(need)-1].key
-	// An adapter goes where its base is, so that the base's limit holds.
+	// Hosts that have the base model come first for an adapter, so that the limit
+	// on replicas of the base is kept.
 	for _, a := range b.agents {
-		if a.items[wanted] == nil && a.items[need[0].key] != nil && a.room(need) {
+		if a.items[wanted] == nil && a.items[need[0].key] != nil && a.hasRoom(need) {
 			return a
 		}
 	}
 	for _, a := range b.agents {
-		if a.items[wanted] == nil && a.room(need) {
+		if a.items[wanted] == nil && a.hasRoom(need) {
 			return a
 		}
 	}
 	return nil
 }
 
-func (b *board) replicas(t core.Target) int {
+func (b *sharedView) replicas(t core.Target) int {
 	if t.Adapter != "" {
 		return b.d.snapshot.Adapters[t.Adapter].Spec.Replicas.Max
 	}
 	return b.d.snapshot.Models[t.Model].Spec.Replicas.Max
 }
 
-func (b *board) full(holders []*naiveAgent, t core.Target) bool {
+func (b *sharedView) allBusy(holders []*naiveAgent, t core.Target) bool {
 	limit := b.d.snapshot.Models[t.Model].Spec.MaxConcurrent
 	for _, a := range holders {
 		if len(a.jobs) < limit {
@@ -105,8 +107,8 @@
 	return true
 }
 
-// needs lists what a target needs loaded, the base first.
-func (b *board) needs(t core.Target) []sizes {
+// needs returns what has to be loaded for a target, the base model first.
+func (b *sharedView) needs(t core.Target) []sizes {
 	need := []sizes{b.d.sizes(t.Model)}
 	if t.Adapter != "" {
 		need = append(need, b.d.sizes(t.Adapter))
@@ -114,9 +116,9 @@
 	return need
 }
 
-// naiveEntry sends each request to the board's choice.
+// naiveEntry sends each request to the host that the shared view chooses.
 type naiveEntry struct {
-	board   *board
+	view    *sharedView
 	host    core.HostID
 	started bool
 }
@@ -130,12 +132,12 @@
 		}
 		e.started = true
 		var out []core.Effect
-		for i := range e.board.agents {
+		for i := range e.view.agents {
 			out = append(out, core.Dial{Peer: hostName(i), Address: string(hostName(i))})
 		}
 		return out
 	case core.RequestArrived:
-		a := e.board.choose(ev.Target)
+		a := e.view.choose(ev.Target)
 		if a == nil {
 			return []core.Effect{core.RespondEnd{ID: ev.ID, Code: code.NoMemory}}
 		}
--- a/internal/bench/policy/naiveagent.go
+++ b/internal/bench/policy/naiveagent.go
@@ -8,10 +8,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// naiveAgent loads what requests ask for, runs them in the order of arrival
-// and unloads after the fixed time to live.
+// naiveAgent loads the targets of requests, runs the requests in order of arrival
+// and unloads targets after the fixed time to live.
 type naiveAgent struct {
-	board  *board
+	view   *sharedView
 	index  int
 	items  map[string]*naiveItem
 	orders uint64
@@ -22,11 +22,12 @@
 
 type naiveItem struct {
 	sizes
-	// ordered, loaded and closing are the steps of its life.
-	ordered, loaded, closing bool
-	order                    uint64
-	running                  int
-	last                     core.Time
+	// ordered: a load was ordered; loaded: it is complete; unloading: an unload
+	// was ordered.
+	ordered, loaded, unloading bool
+	order                      uint64
+	running                    int
+	last                       core.Time
 }
 
 type naiveJob struct {
@@ -36,8 +37,9 @@
 	running  bool
 }
 
-// room reports whether what is missing fits beside what is held.
-func (a *naiveAgent) room(need []sizes) bool {
+// hasRoom reports whether the missing items of need fit into memory with all
+// present ones. It reports false while one of them is being unloaded.
+func (a *naiveAgent) hasRoom(need []sizes) bool {
 	var sum int64
 	for _, key := range core.SortedKeys(a.items) {
 		sum += a.items[key].memory
@@ -45,16 +47,17 @@
 	for _, s := range need {
 		if it := a.items[s.key]; it == nil {
 			sum += s.memory
-		} else if it.closing {
+		} else if it.unloading {
 			return false
 		}
 	}
 	return sum <= hostMemoryMiB
 }
 
-// reserve holds the memory for a target at once, before the request is here.
+// reserve reserves the memory for a target. The entry calls it when it sends a
+// request, before the request arrives.
 func (a *naiveAgent) reserve(now core.Time, t core.Target) {
-	for _, s := range a.board.needs(t) {
+	for _, s := range a.view.needs(t) {
 		if a.items[s.key] == nil {
 			a.items[s.key] = &naiveItem{sizes: s}
 		}
@@ -77,7 +80,7 @@
 	case core.RunProgress:
 		a.progress(now, ev)
 	}
-	a.settle(now)
+	a.advanceAll(now)
 	return a.out
 }
 
@@ -98,9 +101,9 @@
 		}
 		it.order = 0
 		switch {
-		case it.closing && a.wanted(key):
+		case it.unloading && a.isWanted(key):
 			a.items[key] = &naiveItem{sizes: it.sizes}
-		case it.closing:
+		case it.unloading:
 			delete(a.items, key)
 		case done.Code == code.OK:
 			it.loaded, it.last = true, now
@@ -123,14 +126,15 @@
 		return
 	}
 	a.jobs = slices.Delete(a.jobs, at, at+1)
-	for _, s := range a.board.needs(j.start.Target) {
+	for _, s := range a.view.needs(j.start.Target) {
 		it := a.items[s.key]
 		it.running, it.last = it.running-1, now
 	}
 }
 
-// settle loads, runs, refuses and unloads what is due.
-func (a *naiveAgent) settle(now core.Time) {
+// advanceAll starts loads and runs, ends requests at their deadline and unloads
+// expired items.
+func (a *naiveAgent) advanceAll(now core.Time) {
 	for _, j := range slices.Clone(a.jobs) {
 		a.advance(now, j)
 	}
@@ -154,7 +158,7 @@
 		return
 	}
 	a.next = min(a.next, j.deadline)
-	need := a.board.needs(j.start.Target)
+	need := a.view.needs(j.start.Target)
 	for _, s := range need {
 		it := a.items[s.key]
 		if !it.ordered {
@@ -165,7 +169,7 @@
 		}
 	}
 	base := a.items[need[0].key]
-	if base.running >= a.board.d.snapshot.Models[j.start.Target.Model].Spec.MaxConcurrent {
+	if base.running >= a.view.d.snapshot.Models[j.start.Target.Model].Spec.MaxConcurrent {
 		return
 	}
 	j.running = true
@@ -175,28 +179,29 @@
 	a.out = append(a.out, core.Run{Attempt: j.start.Attempt, Target: j.start.Target, Key: need[len(need)-1].key, Body: j.start.Body})
 }
 
-// expire unloads what nobody called for the time to live, adapters first.
+// expire unloads an item that had no request for the time to live. A base model is
+// not unloaded while it has adapters.
 func (a *naiveAgent) expire(now core.Time, it *naiveItem) {
-	if !it.loaded || it.closing || it.running > 0 || a.wanted(it.key) || a.carries(it.key) {
+	if !it.loaded || it.unloading || it.running > 0 || a.isWanted(it.key) || a.hasAdapters(it.key) {
 		return
 	}
-	if end := it.last.Add(a.board.ttl); now < end {
+	if end := it.last.Add(a.view.ttl); now < end {
 		a.next = min(a.next, end)
 		return
 	}
-	it.loaded, it.closing = false, true
+	it.loaded, it.unloading = false, true
 	a.order(now, core.OrderUnload, it)
 }
 
-// wanted reports whether a request waits for the item.
-func (a *naiveAgent) wanted(key string) bool {
+// isWanted reports whether a request that waits or runs needs the item.
+func (a *naiveAgent) isWanted(key string) bool {
 	return slices.ContainsFunc(a.jobs, func(j *naiveJob) bool {
-		return slices.ContainsFunc(a.board.needs(j.start.Target), func(s sizes) bool { return s.key == key })
+		return slices.ContainsFunc(a.view.needs(j.start.Target), func(s sizes) bool { return s.key == key })
 	})
 }
 
-// carries reports whether an adapter is held on the item.
-func (a *naiveAgent) carries(key string) bool {
+// hasAdapters reports whether the host has an adapter of the item.
+func (a *naiveAgent) hasAdapters(key string) bool {
 	for _, other := range a.items { // any: order has no effect
 		if other.base == key {
 			return true
--- a/internal/bench/policy/ours.go
+++ b/internal/bench/policy/nutmeglane.go
@@ -18,46 +18,46 @@
 	return api.PriorityInteractive
 }
 
-// timings are the defaults but for the intervals of what no request waits
-// for, which are longer so that days of virtual time pass quickly.
+// timings returns the default timings with longer intervals for messages that no
+// request waits for, which makes the simulation of days faster.
 func timings() core.Timings {
 	t := core.DefaultTimings()
 	t.ReportInterval, t.RosterInterval, t.StewardLease = time.Minute, time.Minute, 3*time.Minute
 	return t
 }
 
-// runOurs drives the real reducers.
-func runOurs(ctx context.Context, d *deployment, opts Options, arrivals []arrival) (Row, error) {
+// runNutmeglane measures the reducers of the daemons.
+func runNutmeglane(ctx context.Context, d *deployment, opts Options, arrivals []arrival) (Row, error) {
 	w := d.newWorld(opts.Seed)
 	engines := d.newEngines(w, opts.Seed)
 	for i, e := range engines {
-		start(w, harnessHost(hostName(i), d.zone(i), core.RoleBackend), e, daemon.Blueprint{
+		start(w, newHost(hostName(i), d.zone(i), core.RoleBackend), e, daemon.Blueprint{
 			Role: settings.RoleAgent, Kind: core.BackendEngine, Seed: opts.Seed + uint64(i),
 		})
 	}
 	for i := range d.services {
 		name := core.HostID(d.service) + "-" + core.HostID('0'+rune(i))
-		start(w, harnessHost(name, d.zone(i), core.RoleBackend), w.NewEngine(0, false), daemon.Blueprint{
+		start(w, newHost(name, d.zone(i), core.RoleBackend), w.NewEngine(0, false), daemon.Blueprint{
 			Role: settings.RoleAgent, Kind: core.BackendService, Service: d.service, Seed: opts.Seed + 100 + uint64(i),
 		})
 	}
 	for i := range opts.Entries {
-		start(w, harnessHost(entryName(i), d.zone(i), core.RoleEntry), nil, daemon.Blueprint{
+		start(w, newHost(entryName(i), d.zone(i), core.RoleEntry), nil, daemon.Blueprint{
 			Role: settings.RoleEntry, Seed: opts.Seed + 200 + uint64(i),
 		})
 	}
-	m := newWatch(d, w, engines)
+	m := newMeasurement(d, w, engines)
 	if err := m.run(ctx, arrivals); err != nil {
 		return Row{}, err
 	}
 	return m.row("nutmeglane"), nil
 }
 
-func harnessHost(id core.HostID, zone core.Zone, role core.HostRole) core.Host {
+func newHost(id core.HostID, zone core.Zone, role core.HostRole) core.Host {
 	return core.Host{ID: id, Address: string(id), Zone: zone, Role: role, State: core.HostLive}
 }
 
-// Limits of a process, as the settings' defaults.
+// Limits of a process, the same as the defaults of the settings.
 const (
 	queueLength  = 1024
 	queueBytes   = 16 << 20
@@ -71,7 +71,7 @@
 		b.Incarnation = incarnation
 		m, err := b.Build()
 		if err != nil {
-			panic(err) // an unknown role: a fault of this package
+			panic(err) // unknown role, a bug in this package
 		}
 		return m
 	})
--- a/internal/bench/policy/policy_test.go
+++ b/internal/bench/policy/policy_test.go
@@ -8,13 +8,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testArrivals are enough for cold starts at night and in the morning.
+// testArrivals is the number of arrivals of a test run. It is enough for cold starts
+// at night and in the morning.
 const testArrivals = 1500
 
-// A run that differed between two machines could not be argued about. Besides,
-// on this trace without faults nutmeglane and the naive version must serve the
-// same set of requests, all of them, and break no promise.
-func TestRunsRepeatAndServeAll(t *testing.T) {
+// Results must not differ between runs or machines, or they could not be compared.
+// On this trace without faults, nutmeglane and the naive policy must serve all
+// requests without violations.
+func TestRunsAreDeterministicAndServeAll(t *testing.T) {
 	for _, name := range []string{"helvarin", "agence"} {
 		t.Run(name, func(t *testing.T) {
 			opts := Options{Days: 1}.withDefaults()
@@ -24,7 +25,7 @@
 			}
 			arrivals := makeTrace(d, opts)[:testArrivals]
 			for _, run := range []func() (Row, error){
-				func() (Row, error) { return runOurs(context.Background(), d, opts, arrivals) },
+				func() (Row, error) { return runNutmeglane(context.Background(), d, opts, arrivals) },
 				func() (Row, error) { return runNaive(context.Background(), d, opts, arrivals, 10*time.Minute) },
 			} {
 				first, err := run()
@@ -46,9 +47,9 @@
 	}
 }
 
-// The oracle is printed as a bound: with any prices it must cost no more than
-// keeping every gap, or than dropping after every request.
-func TestOracleBeatsBothExtremes(t *testing.T) {
+// The oracle is reported as a lower bound: at any prices it must cost no more than
+// keeping everything loaded, or than unloading after each request.
+func TestOracleCostIsLowerBound(t *testing.T) {
 	opts := Options{Days: 1}.withDefaults()
 	d, err := newDeployment("agence")
 	if err != nil {
@@ -56,13 +57,13 @@
 	}
 	arrivals := makeTrace(d, opts)
 	cost := func(cold, idle float64) Row {
-		d.reprice(Options{ColdStartPrice: cold, IdleHourPrice: idle})
+		d.overridePrices(Options{ColdStartPrice: cold, IdleHourPrice: idle})
 		return oracle(d, arrivals, opts)
 	}
 	best, keep, drop := cost(1, 60), cost(1e9, 60), cost(1e-9, 60)
 	for _, other := range []Row{keep, drop} {
 		if price := other.ColdSeconds + 60*other.IdleHours; best.Cost > price {
-			t.Errorf("the oracle pays %.0f, %+v pays %.0f", best.Cost, other, price)
+			t.Errorf("the oracle costs %.0f, %+v costs %.0f", best.Cost, other, price)
 		}
 	}
 }
--- a/internal/bench/policy/result.go
+++ b/internal/bench/policy/result.go
@@ -13,14 +13,14 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Result holds the tables of a measurement.
+// Result has the results of a measurement.
 type Result struct {
 	Days        int                `json:"days"`
 	Seed        uint64             `json:"seed"`
 	Deployments []DeploymentResult `json:"deployments"`
 }
 
-// DeploymentResult is the table of one deployment.
+// DeploymentResult has the results of one deployment.
 type DeploymentResult struct {
 	Name     string   `json:"name"`
 	Requests int      `json:"requests"`
@@ -28,17 +28,18 @@
 	Targets  []Target `json:"targets"`
 }
 
-// Row is what one way of serving achieved.
+// Row has the results of one policy.
 type Row struct {
 	Name string `json:"name"`
-	// ColdRequests found their target not loaded and were served; ColdStarts
-	// counts the loads that the first of them began.
+	// ColdRequests counts the requests that were served although their target
+	// was not loaded when they arrived, ColdStarts those of them that were the
+	// first to wait for a load. P50, P99 and Max are of their waits.
 	ColdRequests int           `json:"coldRequests"`
 	ColdStarts   int           `json:"coldStarts"`
 	P50          time.Duration `json:"p50"`
 	P99          time.Duration `json:"p99"`
 	Max          time.Duration `json:"max"`
-	// InteractiveCold counts the interactive cold requests,
+	// InteractiveCold counts the interactive cold requests.
 	// InteractiveColdSeconds is the sum of their waits.
 	InteractiveCold        int     `json:"interactiveCold"`
 	InteractiveColdSeconds float64 `json:"interactiveColdSeconds"`
@@ -47,32 +48,37 @@
 	// AllP99 is the p99 of the wait of all served interactive requests, cold
 	// or not.
 	AllP99 time.Duration `json:"allP99"`
-	// ColdSeconds is the sum of all waits of cold requests. Cost adds it and
-	// IdleHours up at the deployment's prices.
+	// ColdSeconds is the sum of the waits of all cold requests. Cost is the sum
+	// of ColdSeconds and IdleHours, each multiplied by its price in the
+	// deployment.
 	ColdSeconds float64 `json:"coldSeconds"`
 	Cost        float64 `json:"cost"`
-	// InteractiveP99 is the p99 of the interactive cold requests.
+	// InteractiveP99 is the p99 of the waits of interactive cold requests.
 	InteractiveP99 time.Duration `json:"interactiveP99"`
-	// FloorP99 is the p99 that the same cold requests would have seen with
-	// nothing but the load from the place where the checkpoint was nearest;
-	// RemoteFloorP99 with every load from the store at full speed.
+	// FloorP99 is the p99 that the same cold requests would have had if each
+	// waited only for the load from the fastest tier that had the checkpoint.
+	// RemoteFloorP99 is the same with all loads from the weight store at full
+	// speed.
 	FloorP99       time.Duration `json:"floorP99"`
 	RemoteFloorP99 time.Duration `json:"remoteFloorP99"`
-	// Refusals were answered as not run; Failures ended otherwise.
+	// Refusals counts the requests that were answered as not run, Failures those
+	// that failed otherwise.
 	Refusals int `json:"refusals"`
 	Failures int `json:"failures"`
-	// IdleHours of accelerators loaded with models that run nothing.
+	// IdleHours is the accelerator time with loaded models that run no request,
+	// in hours.
 	IdleHours float64 `json:"idleHours"`
 	Loads     int     `json:"loads"`
-	// StoreReads are loads and prefetches from the weight store, StoreBusiest
-	// the most at once.
+	// StoreReads counts the loads and prefetches from the weight store,
+	// StoreBusiest is the maximum number of concurrent ones.
 	StoreReads   int `json:"storeReads"`
 	StoreBusiest int `json:"storeBusiest"`
-	// Violations of what must always hold, as the referee saw them.
+	// Violations are the violated invariants that the referee detected.
 	Violations []string `json:"violations,omitempty"`
 }
 
-// Target is one aim and what was measured.
+// Target is a target with the measured value. It is met if Measured is at most
+// Limit.
 type Target struct {
 	Name     string  `json:"name"`
 	Limit    float64 `json:"limit"`
@@ -80,7 +86,7 @@
 	Met      bool    `json:"met"`
 }
 
-// The targets, as ratios.
+// Limits of the targets, as ratios.
 const (
 	coldTarget  = 0.5
 	floorTarget = 1.3
@@ -106,8 +112,8 @@
 	return a / b
 }
 
-// price fills in the sums over the waits.
-func (r *Row) price(waits, interactive []time.Duration, prices *api.DeploymentSpec) {
+// sumCosts sets the sums of the waits and the cost.
+func (r *Row) sumCosts(waits, interactive []time.Duration, prices *api.DeploymentSpec) {
 	r.InteractiveCold = len(interactive)
 	for _, wait := range interactive {
 		r.InteractiveColdSeconds += wait.Seconds()
@@ -118,7 +124,8 @@
 	r.Cost = r.ColdSeconds*prices.ColdStartPrice + r.IdleHours*prices.IdleHourPrice
 }
 
-// percentile sorts and returns the value that p of the samples do not exceed.
+// percentile sorts the samples and returns the value that a fraction p of them does
+// not exceed, 0 without samples.
 func percentile(samples []time.Duration, p float64) time.Duration {
 	if len(samples) == 0 {
 		return 0
@@ -151,7 +158,7 @@
 			return err
 		}
 		for _, target := range d.Targets {
-			fmt.Fprintf(w, "  %s: %.2f, aim at most %.2f: %s\n", target.Name, target.Measured, target.Limit, verdict(target.Met))
+			fmt.Fprintf(w, "  %s: %.2f, target at most %.2f: %s\n", target.Name, target.Measured, target.Limit, verdict(target.Met))
 		}
 		for _, row := range d.Rows {
 			for _, c := range core.SortedKeys(row.RefusalCodes) {
@@ -165,7 +172,7 @@
 	return nil
 }
 
-// violationsShown bounds the violations printed for a row.
+// violationsShown is the maximum number of violations printed for a row.
 const violationsShown = 5
 
 func verdict(met bool) string {
--- a/internal/bench/policy/trace.go
+++ b/internal/bench/policy/trace.go
@@ -16,44 +16,45 @@
 	at      time.Duration
 	entry   int
 	target  core.Target
-	name    string // of the model or adapter
+	name    string // name of the model or adapter
 	batch   bool
 	tokens  uint64
 	timeout time.Duration
 }
 
-// The trace. Sessions (a walkthrough, a club's question, a night's job) come
-// as a Poisson process whose rate follows the hour and the kind of day; their
-// targets follow Zipf's law, so that most are called a few times a day.
+// Parameters of the trace. Sessions, such as a user's series of questions or a
+// nightly job, arrive as a Poisson process whose rate depends on the hour and the
+// kind of day. Their targets have a Zipf distribution, so that most targets are
+// requested a few times per day.
 const (
-	sessionsPerDay  = 900
-	zipfExponent    = 1.0
-	zipfOffset      = 2
-	peakFactor      = 6   // of the peak tasks on the peak day
-	idleFactor      = 0.1 // of a day without work
-	crowdShare      = 0.3 // sessions that begin at several entries at once
-	crowdMost       = 8
-	crowdWithin     = 200 * time.Millisecond
-	stepsMean       = 6 // further requests of an interactive session
-	pauseMean       = 45 * time.Second
-	batchJobsMean   = 4
-	batchPauseMean  = 20 * time.Second
-	interactiveWait = 3 * time.Minute
-	batchWait       = 30 * time.Minute
-	shortTokens     = 40
-	longTokens      = 400
-	day             = 24 * time.Hour
+	sessionsPerDay     = 900
+	zipfExponent       = 1.0
+	zipfOffset         = 2
+	peakFactor         = 6   // factor on the rate of peak tasks on a peak day
+	idleFactor         = 0.1 // factor on all rates on an idle day
+	burstShare         = 0.3 // fraction of sessions that begin with concurrent requests at several entries
+	maxBurst           = 8
+	burstWindow        = 200 * time.Millisecond
+	stepsMean          = 6 // mean number of further requests in an interactive session
+	pauseMean          = 45 * time.Second
+	batchJobsMean      = 4
+	batchPauseMean     = 20 * time.Second
+	interactiveTimeout = 3 * time.Minute
+	batchTimeout       = 30 * time.Minute
+	shortTokens        = 40
+	longTokens         = 400
+	day                = 24 * time.Hour
 )
 
-// dayCurve is the share of interactive sessions by hour; batchCurve that of
-// batch jobs, which run at night.
+// dayCurve has the relative rates of interactive sessions by hour, batchCurve those
+// of batch jobs, which run at night.
 var (
 	dayCurve   = [24]float64{0, 0, 0, 0, 0, 1, 3, 8, 10, 10, 9, 7, 5, 8, 10, 10, 9, 8, 5, 3, 2, 1, 0, 0}
 	batchCurve = [24]float64{6, 6, 5, 4, 2, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 4, 8, 10, 9, 8}
 )
 
-// served is something that sessions are for.
-type served struct {
+// traceTarget is a model or adapter that sessions request.
+type traceTarget struct {
 	name   string
 	target core.Target
 	batch  bool
@@ -61,15 +62,17 @@
 	weight float64
 }
 
-func (d *deployment) catalogue(draw *rand.Rand) []served {
-	var all []served
+// traceTargets returns all models and adapters with weights in a random order of
+// popularity.
+func (d *deployment) traceTargets(draw *rand.Rand) []traceTarget {
+	var all []traceTarget
 	for _, name := range core.SortedKeys(d.snapshot.Models) {
 		spec := d.snapshot.Models[name].Spec
-		all = append(all, served{name: name, target: core.Target{Model: name}, batch: spec.Priority == api.PriorityBatch})
+		all = append(all, traceTarget{name: name, target: core.Target{Model: name}, batch: spec.Priority == api.PriorityBatch})
 	}
 	for _, name := range core.SortedKeys(d.snapshot.Adapters) {
 		spec := d.snapshot.Adapters[name].Spec
-		all = append(all, served{
+		all = append(all, traceTarget{
 			name: name, target: core.Target{Model: spec.Base, Adapter: name}, batch: spec.Priority == api.PriorityBatch,
 		})
 	}
@@ -81,8 +84,8 @@
 	return all
 }
 
-// dayFactor is the activity of a kind of day for a target.
-func dayFactor(number int, s *served) float64 {
+// dayFactor returns the factor on the rate of a target on the given day.
+func dayFactor(number int, s *traceTarget) float64 {
 	switch number % 7 {
 	case 1:
 		if s.peak {
@@ -96,18 +99,18 @@
 
 func makeTrace(d *deployment, opts Options) []arrival {
 	draw := rand.New(rand.NewPCG(opts.Seed, traceStream))
-	t := tracer{draw: draw, entries: opts.Entries}
-	all := d.catalogue(draw)
+	t := traceGenerator{draw: draw, entries: opts.Entries}
+	all := d.traceTargets(draw)
 	for number := range opts.Days {
 		for i := range all {
-			t.day(number, &all[i], sumOf(all))
+			t.day(number, &all[i], sumWeights(all))
 		}
 	}
 	slices.SortStableFunc(t.arrivals, func(a, b arrival) int { return int(a.at - b.at) })
 	return t.arrivals
 }
 
-func sumOf(all []served) float64 {
+func sumWeights(all []traceTarget) float64 {
 	sum := 0.0
 	for _, s := range all {
 		sum += s.weight
@@ -115,13 +118,13 @@
 	return sum
 }
 
-type tracer struct {
+type traceGenerator struct {
 	draw     *rand.Rand
 	entries  int
 	arrivals []arrival
 }
 
-func (t *tracer) day(number int, s *served, total float64) {
+func (t *traceGenerator) day(number int, s *traceTarget, total float64) {
 	curve := &dayCurve
 	if s.batch {
 		curve = &batchCurve
@@ -139,17 +142,17 @@
 	}
 }
 
-func (t *tracer) session(at time.Duration, s *served) {
+func (t *traceGenerator) session(at time.Duration, s *traceTarget) {
 	steps, pause := t.poisson(stepsMean), pauseMean
 	if s.batch {
 		steps, pause = t.poisson(batchJobsMean), batchPauseMean
 	}
-	crowd := 1
-	if t.draw.Float64() < crowdShare {
-		crowd += t.draw.IntN(crowdMost)
+	burst := 1
+	if t.draw.Float64() < burstShare {
+		burst += t.draw.IntN(maxBurst)
 	}
-	for range crowd {
-		t.request(at+time.Duration(t.draw.Int64N(int64(crowdWithin))), s)
+	for range burst {
+		t.request(at+time.Duration(t.draw.Int64N(int64(burstWindow))), s)
 	}
 	for range steps {
 		at += time.Duration(t.draw.ExpFloat64() * float64(pause))
@@ -157,19 +160,20 @@
 	}
 }
 
-func (t *tracer) request(at time.Duration, s *served) {
+func (t *traceGenerator) request(at time.Duration, s *traceTarget) {
 	a := arrival{
 		at: at, entry: t.draw.IntN(t.entries), target: s.target, name: s.name, batch: s.batch,
-		tokens: shortTokens, timeout: interactiveWait,
+		tokens: shortTokens, timeout: interactiveTimeout,
 	}
 	if s.batch {
-		a.tokens, a.timeout = longTokens, batchWait
+		a.tokens, a.timeout = longTokens, batchTimeout
 	}
 	t.arrivals = append(t.arrivals, a)
 }
 
-// poisson draws a count by multiplying uniforms; means here are small.
-func (t *tracer) poisson(mean float64) int {
+// poisson draws from a Poisson distribution by multiplying uniform variates, which
+// is fast enough for the small means used here.
+func (t *traceGenerator) poisson(mean float64) int {
 	limit, product, n := math.Exp(-mean), t.draw.Float64(), 0
 	for product > limit {
 		product *= t.draw.Float64()
