--- a/internal/bench/quota/doc.go
+++ b/internal/bench/quota/doc.go
@@ -1,8 +1,9 @@
-// Package quota measures how well routers and loaders keep the bounds of client accounts
-// together, in virtual time: package internal/quota as it is, callers that are spread
-// unevenly, words that take their time, and processes that fail. No network, fixed seeds.
+// Package quota measures how well routers and loaders enforce the limits of client
+// accounts together. It runs package internal/quota in virtual time with callers that are
+// distributed unevenly over routers, message delays and failing processes, without a
+// network and with fixed seeds.
 //
-// What must hold is that no account exceeds its bound within any window; what is measured
-// is how much of what an account may use it gets, how near the bound comes, and what it
-// costs.
+// The invariant is that no account exceeds its bound within any window. The measurements
+// are the fraction of its limit that an account can use, how near its use comes to the
+// bound, and the cost in bytes of messages.
 package quota
--- a/internal/bench/quota/fleet.go
+++ b/internal/bench/quota/fleet.go
@@ -13,43 +13,44 @@
 )
 
 const (
-	// step is how finely time passes, and how long a word is on its way.
+	// step is the step of virtual time and the delay of a message.
 	step = 10 * time.Millisecond
-	// lead is the time before anybody calls.
-	lead = 14 * time.Second
-	// ticks is how many steps pass between two ticks of a router.
+	// startupTime is the time before the first request.
+	startupTime = 14 * time.Second
+	// ticks is the number of steps between two ticks of a router.
 	ticks = 5
-	// loaders is how many loaders there are; routers use the first ones that they reach.
+	// loaders is the number of loaders. Routers use the first ones that they can reach.
 	loaders = 4
-	// aggregators is how many of them keep the bounds.
-	aggregators = quota.Slots
+	// granters is the number of loaders that grant tokens at a time.
+	granters = quota.Slots
 )
 
-// The mix of requests: a third are plain, most of the others short, one in a hundred long.
+// The mix of requests: about a third are plain, one in a hundred is long, the others are
+// short.
 const (
 	plainShare, longShare = 0.32, 0.009
 	plainCost             = 200
 	shortCost, longCost   = 715, 9240
-	// meanCost is the mean of the mix.
+	// meanCost is the mean cost of a request.
 	meanCost = plainShare*plainCost + longShare*longCost + (1-plainShare-longShare)*shortCost
 )
 
-// fleet is routers, loaders and the callers of accounts.
+// fleet simulates routers, loaders and the callers of accounts.
 type fleet struct {
-	rand    *rand.Rand
-	now     core.Time
-	routers []*routerProcess
-	loaders []*loaderProcess
-	clients []*account
-	bounds  quota.Bounds
-	// asked counts requests, which are keys.
+	rand     *rand.Rand
+	now      core.Time
+	routers  []*routerProcess
+	loaders  []*loaderProcess
+	accounts []*account
+	bounds   quota.Bounds
+	// asked counts the requests. It is the key of the latest one.
 	asked uint64
-	// words are on their way.
-	words []inFlight
-	cost  cost
+	// messages are in flight.
+	messages []inFlight
+	cost     cost
 }
 
-// cost is what deciding took.
+// cost counts decisions, and the messages for them with their bytes.
 type cost struct {
 	decisions, bytes, messages int
 }
@@ -58,58 +59,62 @@
 type account struct {
 	name  string
 	limit quota.Limit
-	// usual is what it asks a second, times what a script says.
-	usual, times float64
-	// homes are the routers of its callers.
-	homes []int
-	// ideal is one exact bucket, to tell what was refused below the limit.
-	ideal  float64
-	idealT core.Time
-	record record
+	// usualRate is the cost that its callers request per second, before it is
+	// multiplied by factor, which scripts set.
+	usualRate, factor float64
+	// homeRouters has the index of the router of each caller.
+	homeRouters []int
+	// idealTokens and idealAt are the state of one exact token bucket, which tells
+	// whether a refused request was below the limit.
+	idealTokens float64
+	idealAt     core.Time
+	record      record
 }
 
 type routerProcess struct {
 	name  core.HostID
 	gate  *quota.Gate
 	alive bool
-	// life counts the starts.
-	life        int
-	frozenUntil core.Time
-	cut         bool
-	// waiting are requests that the gate has not decided on.
+	// life is the number of starts.
+	life         int
+	frozenUntil  core.Time
+	disconnected bool
+	// waiting has the requests that the gate has not decided on, by key.
 	waiting map[uint64]waiter
 }
 
-// waiter is a request that waits.
+// waiter is a waiting request. idealAdmitted is the decision of the exact bucket.
 type waiter struct {
-	account *account
-	cost    float64
-	owed    bool
+	account       *account
+	cost          float64
+	idealAdmitted bool
 }
 
 type loaderProcess struct {
-	name   core.HostID
-	keeper *quota.Granter
-	alive  bool
-	// life counts the starts.
+	name    core.HostID
+	granter *quota.Granter
+	alive   bool
+	// life is the number of restarts.
 	life int
 }
 
-// inFlight is a word that arrives at a time.
+// inFlight is a message between a router and a loader that arrives at a given time.
 type inFlight struct {
 	at     core.Time
 	router int
 	loader int
-	// routerLife and loaderLife are the ends of the connection.
+	// routerLife and loaderLife identify the processes at both ends. The message is
+	// dropped if one of them has restarted.
 	routerLife, loaderLife int
 	ask                    *core.QuotaAsk
-	told                   *core.QuotaTold
+	answer                 *core.QuotaTold
 }
 
 // Deployment is the size of a measured fleet.
 type Deployment struct {
 	Routers, Accounts int
-	// RequestsPerSecond of all accounts together, at half of their limits.
+	// RequestsPerSecond is the usual request rate of all accounts together, about half
+	// of their limits.
 	RequestsPerSecond float64
 }
 
@@ -119,7 +124,7 @@
 		bounds: quota.Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 72000},
 	}
 	for i := range loaders {
-		f.loaders = append(f.loaders, &loaderProcess{name: core.HostID(fmt.Sprintf("l%03d", i)), keeper: quota.NewGranter(), alive: true})
+		f.loaders = append(f.loaders, &loaderProcess{name: core.HostID(fmt.Sprintf("l%03d", i)), granter: quota.NewGranter(), alive: true})
 	}
 	f.addAccounts(d)
 	for range d.Routers {
@@ -128,8 +133,8 @@
 	return f
 }
 
-// addAccounts spreads the requests over accounts as a few large ones and a long tail, and
-// each account's callers over routers by chance.
+// addAccounts distributes the requests over accounts, a few large ones and a long tail,
+// and the callers of each account randomly over routers.
 func (f *fleet) addAccounts(d Deployment) {
 	total := 0.0
 	for i := range d.Accounts {
@@ -137,26 +142,27 @@
 	}
 	for i := range d.Accounts {
 		perSecond := d.RequestsPerSecond / float64(i+1) / total
-		usual := perSecond * meanCost
-		// The deployment's limit is 1.8 times what is usual, 18,000 at the least.
-		rate := max(18000, 1.8*usual)
-		a := &account{name: fmt.Sprintf("account%d", i), limit: quota.Limit{Rate: rate, Burst: rate}, usual: usual, times: 1, idealT: f.now}
-		a.ideal = rate
+		usualRate := perSecond * meanCost
+		// The limit is 1.8 times the usual rate, but at least 18,000.
+		rate := max(18000, 1.8*usualRate)
+		a := &account{name: fmt.Sprintf("account%d", i), limit: quota.Limit{Rate: rate, Burst: rate}, usualRate: usualRate, factor: 1, idealAt: f.now}
+		a.idealTokens = rate
 		for range max(2, int(math.Ceil(perSecond))) {
-			a.homes = append(a.homes, f.rand.IntN(d.Routers))
+			a.homeRouters = append(a.homeRouters, f.rand.IntN(d.Routers))
 		}
-		f.clients = append(f.clients, a)
+		f.accounts = append(f.accounts, a)
 	}
 }
 
 func (f *fleet) addRouter() {
 	r := &routerProcess{name: core.HostID(fmt.Sprintf("r%03d", len(f.routers)))}
 	f.routers = append(f.routers, r)
-	f.start(r)
+	f.restartRouter(r)
 }
 
-// start begins a router's process anew: it knows the configuration and nothing else.
-func (f *fleet) start(r *routerProcess) {
+// restartRouter starts the process of a router with the configuration and no other state.
+// Its waiting requests are sent to random routers.
+func (f *fleet) restartRouter(r *routerProcess) {
 	left := r.waiting
 	r.alive, r.waiting = true, map[uint64]waiter{}
 	r.life++
@@ -168,12 +174,13 @@
 }
 
 func (w waiter) record(now core.Time, admitted bool) {
-	w.account.record.add(now, w.cost, admitted, w.owed)
+	w.account.record.add(now, w.cost, admitted, w.idealAdmitted)
 }
 
-// restart begins a loader's process anew: it knows nothing, and its connections are over.
-func (f *fleet) restart(l *loaderProcess) {
-	l.keeper = quota.NewGranter()
+// restartLoader starts the process of a loader anew, without any state. Its connections
+// are lost.
+func (f *fleet) restartLoader(l *loaderProcess) {
+	l.granter = quota.NewGranter()
 	l.life++
 	for _, r := range f.routers {
 		r.gate.Disconnected(l.name)
@@ -182,42 +189,42 @@
 
 func (f *fleet) configure(r *routerProcess) {
 	limits := map[string]quota.Limit{}
-	for _, a := range f.clients {
+	for _, a := range f.accounts {
 		limits[a.name] = a.limit
 	}
 	r.gate.SetLimits(f.now, int64(f.now), limits)
 }
 
-// run lets time pass. Callers call from calling on.
+// run advances virtual time by d. Callers send requests only if calling is true.
 func (f *fleet) run(d time.Duration, calling bool) {
 	for end := f.now.Add(d); f.now < end; {
 		f.now = f.now.Add(step)
 		f.deliver()
 		if calling {
-			f.call()
+			f.sendRequests()
 		}
-		f.talk()
+		f.tickRouters()
 	}
 }
 
 func (f *fleet) deliver() {
-	rest := f.words[:0]
-	for _, w := range f.words {
+	rest := f.messages[:0]
+	for _, w := range f.messages {
 		r, l := f.routers[w.router], f.loaders[w.loader]
 		switch {
-		case w.at > f.now || w.told != nil && f.now < r.frozenUntil:
+		case w.at > f.now || w.answer != nil && f.now < r.frozenUntil:
 			rest = append(rest, w)
-		case !r.alive || !l.alive || r.cut || w.routerLife != r.life || w.loaderLife != l.life:
+		case !r.alive || !l.alive || r.disconnected || w.routerLife != r.life || w.loaderLife != l.life:
 		case w.ask != nil:
-			told := l.keeper.HandleAsk(f.now, r.name, *w.ask)
-			w.at, w.ask, w.told = f.now.Add(step), nil, told
-			f.send(size(*told))
+			answer := l.granter.HandleAsk(f.now, r.name, *w.ask)
+			w.at, w.ask, w.answer = f.now.Add(step), nil, answer
+			f.send(encodedSize(*answer))
 			rest = append(rest, w)
 		default:
-			r.gate.HandleAnswer(f.now, l.name, *w.told)
+			r.gate.HandleAnswer(f.now, l.name, *w.answer)
 		}
 	}
-	f.words = rest
+	f.messages = rest
 }
 
 func (f *fleet) send(bytes int) {
@@ -225,14 +232,15 @@
 	f.cost.messages++
 }
 
-// talk lets all routers ask what is due.
-func (f *fleet) talk() {
+// tickRouters runs the due ticks of routers, records their decisions and sends their
+// messages.
+func (f *fleet) tickRouters() {
 	for i, r := range f.routers {
 		if !r.alive || f.now < r.frozenUntil {
 			continue
 		}
 		if int(f.now/core.Time(step))%ticks == i%ticks {
-			r.gate.SetLoaders(f.now, f.reached(r))
+			r.gate.SetLoaders(f.now, f.reachableLoaders(r))
 			r.gate.Tick(f.now)
 		}
 		for _, v := range r.gate.Verdicts() {
@@ -241,10 +249,10 @@
 		}
 		for _, ask := range r.gate.Asks(f.now) {
 			loader := f.index(ask.To)
-			f.words = append(f.words, inFlight{
+			f.messages = append(f.messages, inFlight{
 				at: f.now.Add(step), router: i, loader: loader, routerLife: r.life, loaderLife: f.loaders[loader].life, ask: &ask.Message,
 			})
-			f.send(size(ask.Message))
+			f.send(encodedSize(ask.Message))
 		}
 	}
 }
@@ -255,10 +263,10 @@
 	return i
 }
 
-// reached are the loaders that a router can ask.
-func (f *fleet) reached(r *routerProcess) []core.HostID {
+// reachableLoaders returns the loaders that a router can reach.
+func (f *fleet) reachableLoaders(r *routerProcess) []core.HostID {
 	var up []core.HostID
-	if r.cut {
+	if r.disconnected {
 		return nil
 	}
 	for _, l := range f.loaders {
@@ -269,20 +277,20 @@
 	return up
 }
 
-// size is a message's, as it is sent.
-func size(m core.Message) int {
+// encodedSize returns the size of an encoded message in bytes.
+func encodedSize(m core.Message) int {
 	data, err := core.EncodeMessage(m)
 	if err != nil {
-		panic(err) // both messages encode always
+		panic(err) // encoding these messages never fails
 	}
 	return len(data)
 }
 
-// call lets the callers of all accounts call in one step.
-func (f *fleet) call() {
-	for _, a := range f.clients {
-		for range poisson(f.rand, a.usual*a.times/meanCost*step.Seconds()) {
-			f.ask(a, f.drawCost())
+// sendRequests sends the requests of the callers of all accounts in one step.
+func (f *fleet) sendRequests() {
+	for _, a := range f.accounts {
+		for range poisson(f.rand, a.usualRate*a.factor/meanCost*step.Seconds()) {
+			f.sendRequest(a, f.drawCost())
 		}
 	}
 }
@@ -298,19 +306,21 @@
 	}
 }
 
-// ask lets a caller ask its router, or another if that one is gone.
-func (f *fleet) ask(a *account, cost float64) {
-	r := f.routers[a.homes[f.rand.IntN(len(a.homes))]]
+// sendRequest sends a request to the router of a random caller, or to another router if
+// that one is down or frozen. After 21 unusable routers the request is dropped.
+func (f *fleet) sendRequest(a *account, cost float64) {
+	r := f.routers[a.homeRouters[f.rand.IntN(len(a.homeRouters))]]
 	for tries := 0; !r.alive || f.now < r.frozenUntil; tries++ {
 		if tries > 20 {
 			return
 		}
 		r = f.routers[f.rand.IntN(len(f.routers))]
 	}
-	f.admit(r, waiter{account: a, cost: cost, owed: a.idealAdmits(f.now, cost)})
+	f.admit(r, waiter{account: a, cost: cost, idealAdmitted: a.idealAdmits(f.now, cost)})
 }
 
-// admit lets a router decide on a request.
+// admit has a router decide on a request and records the decision unless the request is
+// queued.
 func (f *fleet) admit(r *routerProcess, w waiter) {
 	f.cost.decisions++
 	f.asked++
@@ -322,14 +332,14 @@
 	}
 }
 
-// idealAdmits is what one exact bucket would decide.
+// idealAdmits reports whether one exact token bucket admits the request.
 func (a *account) idealAdmits(now core.Time, cost float64) bool {
-	a.ideal = min(a.limit.Burst, a.ideal+a.limit.Rate*now.Sub(a.idealT).Seconds())
-	a.idealT = now
-	if a.ideal < cost {
+	a.idealTokens = min(a.limit.Burst, a.idealTokens+a.limit.Rate*now.Sub(a.idealAt).Seconds())
+	a.idealAt = now
+	if a.idealTokens < cost {
 		return false
 	}
-	a.ideal -= cost
+	a.idealTokens -= cost
 	return true
 }
 
--- a/internal/bench/quota/quota_test.go
+++ b/internal/bench/quota/quota_test.go
@@ -5,29 +5,30 @@
 	"testing"
 )
 
-// mostRefused is the part of an account's requests below its bound that may be refused.
-const mostRefused = 0.001
+// maxRefused is the highest fraction of requests below the limits that may be refused.
+const maxRefused = 0.001
 
-// unreached are scripts in which routers hear of no loader, where more is refused. The target
-// and what is reached stand on the capacity page, as do the targets of what an account far
-// above its bound uses.
-var unreached = []string{"hot, half cut from loaders", "hot, no loader left"}
+// exempt has the scripts in which routers can reach no loader, where more requests are
+// refused. The capacity page has the target and the measured values, and also the targets
+// for the use of an account far above its limit.
+var exempt = []string{"hot, half cut from loaders", "hot, no loader left"}
 
-// played are the outcomes by script, so that each is played once for all tests.
-var played = map[string]Outcome{}
+// outcomes caches the outcomes by script, so that each script runs once for all tests.
+var outcomes = map[string]Outcome{}
 
-// outcome plays a script on the deployment of today's size.
+// outcome returns the outcome of a script on the smallest deployment.
 func outcome(s Script) Outcome {
-	o, ok := played[s.Name]
+	o, ok := outcomes[s.Name]
 	if !ok {
 		o = Play(s, Deployments[0], 1)
-		played[s.Name] = o
+		outcomes[s.Name] = o
 	}
 	return o
 }
 
-// Routers are killed, frozen, cut off and added while accounts ask for several times what
-// they may. Whatever happens, no window may hold more than the bound.
+// Routers and loaders fail, freeze, lose their connections and are added while accounts
+// request several times their limits. The use within any window must stay within the
+// bound.
 func TestBoundIsNeverExceeded(t *testing.T) {
 	for _, s := range Scripts() {
 		t.Run(s.Name, func(t *testing.T) {
@@ -38,16 +39,17 @@
 	}
 }
 
-// One account is hot, and the others ask for what they always do, by callers who are spread
-// unevenly: they must not be refused for it.
-func TestAims(t *testing.T) {
+// Accounts below their limits must have almost no requests refused, also while another
+// account requests several times its limit and the callers are distributed unevenly over
+// routers.
+func TestRefusalsBelowLimit(t *testing.T) {
 	for _, s := range Scripts() {
-		if slices.Contains(unreached, s.Name) {
+		if slices.Contains(exempt, s.Name) {
 			continue
 		}
 		t.Run("refused "+s.Name, func(t *testing.T) {
-			if o := outcome(s); o.Refused > mostRefused {
-				t.Errorf("%.5f of what an exact count admits was refused", o.Refused)
+			if o := outcome(s); o.Refused > maxRefused {
+				t.Errorf("%.5f of the requests that an exact token bucket admits were refused", o.Refused)
 			}
 		})
 	}
--- a/internal/bench/quota/record.go
+++ b/internal/bench/quota/record.go
@@ -7,50 +7,52 @@
 	"nutmeglane.example/nutmeglane/internal/quota"
 )
 
-// slot is how finely use is recorded.
-const slot = 50 * time.Millisecond
+// recordInterval is the resolution of recorded use.
+const recordInterval = 50 * time.Millisecond
 
-// record is what became of an account's requests.
+// record has the use and the decisions on the requests of an account.
 type record struct {
 	began core.Time
-	// used is what was admitted in each slot.
+	// used is the admitted cost in each interval.
 	used []float64
-	// owed are requests that an exact bucket admits, refused those of them that were.
-	asked, owed, refused int
-	askedSum, admitted   float64
-	// spells are what was admitted and asked since the last mark.
+	// asked counts all requests, idealAdmitted those that one exact token bucket would
+	// admit, refused those of the latter that were refused. askedSum and admitted are
+	// sums of costs.
+	asked, idealAdmitted, refused int
+	askedSum, admitted            float64
+	// markUsed and markAsked are the sums of costs since markAt.
 	markUsed, markAsked float64
 	markAt              core.Time
 }
 
-func (r *record) add(now core.Time, cost float64, admitted, owed bool) {
+func (r *record) add(now core.Time, cost float64, admitted, idealAdmitted bool) {
 	if r.began == 0 {
 		r.began, r.markAt = now, now
 	}
-	i := int(now.Sub(r.began) / slot)
+	i := int(now.Sub(r.began) / recordInterval)
 	for len(r.used) <= i {
 		r.used = append(r.used, 0)
 	}
 	r.asked++
 	r.askedSum += cost
 	r.markAsked += cost
-	if owed {
-		r.owed++
+	if idealAdmitted {
+		r.idealAdmitted++
 	}
 	if admitted {
 		r.used[i] += cost
 		r.admitted += cost
 		r.markUsed += cost
-	} else if owed {
+	} else if idealAdmitted {
 		r.refused++
 	}
 }
 
-// worst returns the use in the worst window, as a part of what the bounds allow, from a
-// slot on.
-func (r *record) worst(b quota.Bounds, l quota.Limit, from core.Time) float64 {
-	slots := int(b.Window / slot)
-	first := max(0, int(from.Sub(r.began)/slot))
+// worstWindow returns the highest use in any window from the given time on, as a fraction
+// of the use that the bounds allow.
+func (r *record) worstWindow(b quota.Bounds, l quota.Limit, from core.Time) float64 {
+	slots := int(b.Window / recordInterval)
+	first := max(0, int(from.Sub(r.began)/recordInterval))
 	sum, worst := 0.0, 0.0
 	for i := first; i < len(r.used); i++ {
 		sum += r.used[i]
--- a/internal/bench/quota/run.go
+++ b/internal/bench/quota/run.go
@@ -9,7 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Deployments are the sizes that are measured: two of today, and the aim's.
+// Deployments are the sizes to measure: two smaller ones and the target size with few and
+// with many accounts.
 var Deployments = []Deployment{
 	{Routers: 28, Accounts: 16, RequestsPerSecond: 377},
 	{Routers: 68, Accounts: 16, RequestsPerSecond: 920},
@@ -17,20 +18,20 @@
 	{Routers: 470, Accounts: 1000, RequestsPerSecond: 54000},
 }
 
-// Result is the table.
+// Result has the outcomes of all scripts and deployments.
 type Result struct {
 	Outcomes []Outcome `json:"outcomes"`
 }
 
-// Options choose what is played. The largest deployment takes minutes.
+// Options select what to run. The largest deployment takes minutes.
 type Options struct {
 	Deployments []Deployment
-	// Script is the name of the only script to play, "" for all.
+	// Script is the name of the only script to run, "" for all.
 	Script string
 	Seed   uint64
 }
 
-// Run plays scripts on deployments.
+// Run runs the selected scripts on each deployment.
 func Run(o Options) (*Result, error) {
 	result := &Result{}
 	for _, d := range o.Deployments {
@@ -41,12 +42,12 @@
 		}
 	}
 	if len(result.Outcomes) == 0 {
-		return nil, errors.Newf("no script %q", o.Script)
+		return nil, errors.Newf("unknown script %q", o.Script)
 	}
 	return result, nil
 }
 
-// WriteText writes the table.
+// WriteText writes the outcomes as a table.
 func (r *Result) WriteText(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "routers\taccounts\tscript\tworst window, of the bound\trefused below the limit\tused of the bound\tbytes/s a router")
@@ -57,7 +58,7 @@
 	return errors.Wrap(table.Flush(), "write table")
 }
 
-// WriteJSON writes the outcomes.
+// WriteJSON writes the outcomes as indented JSON.
 func (r *Result) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
