--- a/internal/bench/quota/fleet.go
+++ b/internal/bench/quota/fleet.go
@@ -106,8 +106,8 @@
 	// routerLife and loaderLife identify the processes at both ends. The message is
 	// dropped if one of them has restarted.
 	routerLife, loaderLife int
-	ask                    *core.QuotaAsk
-	answer                 *core.QuotaTold
+	ask                    *core.QuotaRequest
+	answer                 *core.QuotaReply
 }
 
 // Deployment is the size of a measured fleet.
@@ -216,7 +216,7 @@
 			rest = append(rest, w)
 		case !r.alive || !l.alive || r.disconnected || w.routerLife != r.life || w.loaderLife != l.life:
 		case w.ask != nil:
-			answer := l.granter.HandleAsk(f.now, r.name, *w.ask)
+			answer := l.granter.HandleRequest(f.now, r.name, *w.ask)
 			w.at, w.ask, w.answer = f.now.Add(step), nil, answer
 			f.send(encodedSize(*answer))
 			rest = append(rest, w)
@@ -247,7 +247,7 @@
 			r.waiting[v.Key].record(f.now, v.Outcome == quota.Admitted)
 			delete(r.waiting, v.Key)
 		}
-		for _, ask := range r.gate.Asks(f.now) {
+		for _, ask := range r.gate.Requests(f.now) {
 			loader := f.index(ask.To)
 			f.messages = append(f.messages, inFlight{
 				at: f.now.Add(step), router: i, loader: loader, routerLife: r.life, loaderLife: f.loaders[loader].life, ask: &ask.Message,
--- a/internal/core/codec.go
+++ b/internal/core/codec.go
@@ -80,8 +80,8 @@
 		15: ConfigHead{}, 16: ConfigWant{}, 17: ConfigChunk{},
 		18: PermitRequest{}, 19: PermitGrant{}, 20: PermitDone{},
 		21: Demand{}, 22: Holdings{}, 23: Counts{}, 24: RegistryNews{}, 25: PoisonNews{},
-		28: ConfigWanted{}, 29: ConfigPassed{}, 30: SpecWanted{}, 31: LimitAsk{}, 32: LimitTold{},
-		33: QuotaAsk{}, 34: QuotaTold{}, 35: LoadDigest{}, 36: ConfigSpread{},
+		28: ConfigWanted{}, 29: ConfigPassed{}, 30: SpecWanted{}, 31: LimitRequest{}, 32: LimitReply{},
+		33: QuotaRequest{}, 34: QuotaReply{}, 35: LoadDigest{}, 36: ConfigSpread{},
 	})
 	events = newCatalog(map[uint16]any{
 		1: Tick{}, 2: Received{}, 3: PeerUp{}, 4: PeerDown{}, 5: HostList{},
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -13,18 +13,18 @@
 	// PerSecond is the number of requests per second that the server accepts from all
 	// routers together.
 	PerSecond float64
-	// SentAgo and HeardAgo are how long before this message the request was sent and its
+	// SentAgo and ReceivedAgo are how long before this message the request was sent and its
 	// answer received.
-	SentAgo, HeardAgo time.Duration
+	SentAgo, ReceivedAgo time.Duration
 }
 
-// LimitAsk is sent by a router to the loader that keeps a server's limit. It reports the
-// limit known to the router and, if Ask is set, requests a permit to send a request there.
-type LimitAsk struct {
+// LimitRequest is sent by a router to the loader that enforces a server's limit. It reports the
+// limit known to the router and, if RequestID is set, requests a permit to send a request there.
+type LimitRequest struct {
 	Server ServerLife    `cbor:"1,keyasint"`
 	Limit  ReportedLimit `cbor:"2,keyasint"`
-	// Ask identifies the request and is repeated by the answer; 0 if no permit is requested.
-	Ask uint64 `cbor:"3,keyasint,omitempty"`
+	// RequestID identifies the request and is repeated by the answer; 0 if no permit is requested.
+	RequestID uint64 `cbor:"3,keyasint,omitempty"`
 	// Spare is set if another server could serve the request as well.
 	Spare bool `cbor:"4,keyasint,omitempty"`
 	// Uncounted are the numbers of requests that the router sent there within the last
@@ -33,19 +33,19 @@
 	Uncounted []float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// LimitTold is sent by a loader to routers and reports a server's limit, in answer to a
-// LimitAsk or because the limit has changed.
-type LimitTold struct {
+// LimitReply is sent by a loader to routers and reports a server's limit, in answer to a
+// LimitRequest or because the limit has changed.
+type LimitReply struct {
 	Server ServerLife    `cbor:"1,keyasint"`
 	Limit  ReportedLimit `cbor:"2,keyasint"`
-	// Ask is that of the LimitAsk, 0 if this is a change.
-	Ask uint64 `cbor:"3,keyasint,omitempty"`
+	// RequestID is that of the LimitRequest, 0 if this is a change.
+	RequestID uint64 `cbor:"3,keyasint,omitempty"`
 	// Granted permits the request; otherwise Room is the time until one can be permitted.
 	Granted bool          `cbor:"4,keyasint,omitempty"`
 	Room    time.Duration `cbor:"5,keyasint,omitempty"`
-	// Spare is that of the LimitAsk.
+	// Spare is that of the LimitRequest.
 	Spare bool `cbor:"6,keyasint,omitempty"`
 }
 
-func (LimitAsk) message()  {}
-func (LimitTold) message() {}
+func (LimitRequest) message() {}
+func (LimitReply) message()   {}
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Each request to a server with a limit costs a LimitAsk and a LimitTold, which have to stay
+// Each request to a server with a limit costs a LimitRequest and a LimitReply, which have to stay
 // smaller than the request's own header.
 func TestLimitMessagesAreSmall(t *testing.T) {
 	server := ServerLife{Instance: "i-4f6d9f84b0", Born: 1764745965123}
-	limit := ReportedLimit{Named: true, PerSecond: 4.7, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond}
+	limit := ReportedLimit{Named: true, PerSecond: 4.7, SentAgo: 20 * time.Millisecond, ReceivedAgo: 10 * time.Millisecond}
 	const most = 100
 	for _, m := range []Message{
-		LimitAsk{Server: server, Limit: limit, Ask: 123456, Spare: true},
-		LimitTold{Server: server, Limit: limit, Ask: 123456, Room: 380 * time.Millisecond},
+		LimitRequest{Server: server, Limit: limit, RequestID: 123456, Spare: true},
+		LimitReply{Server: server, Limit: limit, RequestID: 123456, Room: 380 * time.Millisecond},
 	} {
 		data, err := EncodeMessage(m)
 		if err != nil {
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -28,9 +28,9 @@
 	Cost, Ahead int64
 }
 
-// QuotaAsk is sent by a router to a loader that enforces the bounds. It lends the loader the
-// router's share of all bounds and requests tokens. It is answered by one QuotaTold.
-type QuotaAsk struct {
+// QuotaRequest is sent by a router to a loader that enforces the bounds. It lends the loader the
+// router's share of all bounds and requests tokens. It is answered by one QuotaReply.
+type QuotaRequest struct {
 	// Number identifies the message and is repeated by the answer.
 	Number uint64 `cbor:"1,keyasint"`
 	// Stamp is that of the loader's last answer on this connection, 0 before the first. The
@@ -57,7 +57,7 @@
 	_       struct{} `cbor:",toarray"`
 	Account string
 	// Granted is the number of tokens granted. They may be used for quota.GrantLifetime after
-	// the QuotaAsk was sent.
+	// the QuotaRequest was sent.
 	Granted int64
 	// Left is what the loader has left to grant. RoomMs is the number of milliseconds until
 	// the loader can grant the Cost, above 0 if it was not granted.
@@ -65,15 +65,15 @@
 	RoomMs int
 }
 
-// QuotaTold answers a QuotaAsk.
-type QuotaTold struct {
+// QuotaReply answers a QuotaRequest.
+type QuotaReply struct {
 	Number uint64 `cbor:"1,keyasint"`
 	// Stamp is the loader's time.
 	Stamp QuotaStamp `cbor:"2,keyasint"`
 	// Life is different for each process of a loader. It is sent in the first answer on a
 	// connection.
 	Life Time `cbor:"8,keyasint,omitempty"`
-	// Held is how many slots the loader holds from the router, in the answer to a QuotaAsk
+	// Held is how many slots the loader holds from the router, in the answer to a QuotaRequest
 	// with Adopt.
 	Held int `cbor:"3,keyasint,omitempty"`
 	// Members is the number of routers that the loader counts, 0 until it has received
@@ -87,5 +87,5 @@
 	Unknown []string `cbor:"7,keyasint,omitempty"`
 }
 
-func (QuotaAsk) message()  {}
-func (QuotaTold) message() {}
+func (QuotaRequest) message() {}
+func (QuotaReply) message()   {}
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -153,10 +153,10 @@
 			p.step(loader.ConfigRequested{Router: e.From, Above: m.Above})
 		case core.ConfigPassed:
 			p.step(loader.ConfigReceived{Router: e.From, Config: m})
-		case core.QuotaAsk:
-			p.step(loader.QuotaRequested{Router: e.From, Ask: m})
-		case core.LimitAsk:
-			p.step(loader.LimitRequested{Router: e.From, Ask: m})
+		case core.QuotaRequest:
+			p.step(loader.QuotaRequested{Router: e.From, Request: m})
+		case core.LimitRequest:
+			p.step(loader.LimitRequested{Router: e.From, Request: m})
 		case core.PoisonNews:
 			p.step(loader.PoisonNewsReceived{Router: e.From, News: m})
 		}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -243,9 +243,9 @@
 			p.passConfig(e.From, m.Above)
 		case core.ConfigPassed:
 			p.applyPassedConfig(m)
-		case core.QuotaTold:
+		case core.QuotaReply:
 			p.gateway.Step(router.LoaderAnsweredQuota{Loader: e.From, Answer: m})
-		case core.LimitTold:
+		case core.LimitReply:
 			p.gateway.Step(router.LoaderAnsweredLimit{Loader: e.From, Answer: m})
 		case core.RegistryNews:
 			p.reader.applyPeerNews(m)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -95,14 +95,14 @@
 		}
 	case router.RelayDigest:
 		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Digest})
-	case router.AskConfig:
+	case router.RequestConfig:
 		for _, to := range e.Loaders {
 			g.opts.Links.Do(core.Send{To: to, Message: e.Wanted})
 		}
-	case router.AskQuota:
-		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Ask})
-	case router.AskLimit:
-		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Ask})
+	case router.SendQuotaRequest:
+		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Request})
+	case router.SendLimitRequest:
+		g.opts.Links.Do(core.Send{To: e.Loader, Message: e.Request})
 	case router.Publish:
 		if g.opts.Publish != nil {
 			g.opts.Publish(e)
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -209,10 +209,10 @@
 	}
 }
 
-func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, broadcast *core.LimitTold) {
+func (p *permits) ask(now core.Time, router int, request uint64, spare bool) (answer, broadcast *core.LimitReply) {
 	g := p.gates[router]
-	return p.limiter.Handle(now, core.LimitAsk{
-		Server: core.ServerLife{Instance: "server"}, Limit: g.Message(now), Ask: request, Spare: spare, Uncounted: g.TakeUncounted(now),
+	return p.limiter.Handle(now, core.LimitRequest{
+		Server: core.ServerLife{Instance: "server"}, Limit: g.Message(now), RequestID: request, Spare: spare, Uncounted: g.TakeUncounted(now),
 	})
 }
 
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -36,20 +36,20 @@
 
 // Handle processes a router's report or request. It returns the answer if a permit was
 // requested, and the message to all other routers if the limit has changed.
-func (l *Limiter) Handle(now core.Time, ask core.LimitAsk) (answer, broadcast *core.LimitTold) {
-	s, current := l.server(now, ask.Server)
+func (l *Limiter) Handle(now core.Time, request core.LimitRequest) (answer, broadcast *core.LimitReply) {
+	s, current := l.server(now, request.Server)
 	if !current {
-		return refuse(ask), nil
+		return refuse(request), nil
 	}
 	s.updatedAt = now
 	before := s.announcement.Named
-	changed := s.update(now, ask.Limit)
-	s.bucket.sent.AddParts(now, ask.Uncounted)
+	changed := s.update(now, request.Limit)
+	s.bucket.sent.AddParts(now, request.Uncounted)
 	if changed && (before || s.announcement.Named) {
 		broadcast = s.message(now)
 	}
-	if ask.Ask != 0 {
-		answer = s.answer(now, ask)
+	if request.RequestID != 0 {
+		answer = s.answer(now, request)
 	}
 	return answer, broadcast
 }
@@ -70,11 +70,11 @@
 }
 
 // refuse answers a request for a permit that concerns an earlier life of the server.
-func refuse(ask core.LimitAsk) *core.LimitTold {
-	if ask.Ask == 0 {
+func refuse(request core.LimitRequest) *core.LimitReply {
+	if request.RequestID == 0 {
 		return nil
 	}
-	return &core.LimitTold{Server: ask.Server, Ask: ask.Ask, Spare: ask.Spare, Room: maxRetryDelay}
+	return &core.LimitReply{Server: request.Server, RequestID: request.RequestID, Spare: request.Spare, Room: maxRetryDelay}
 }
 
 func (s *limitedServer) update(now core.Time, message core.ReportedLimit) (changed bool) {
@@ -85,11 +85,11 @@
 	return changed
 }
 
-func (s *limitedServer) answer(now core.Time, ask core.LimitAsk) *core.LimitTold {
+func (s *limitedServer) answer(now core.Time, request core.LimitRequest) *core.LimitReply {
 	reply := s.message(now)
-	reply.Ask, reply.Spare = ask.Ask, ask.Spare
+	reply.RequestID, reply.Spare = request.RequestID, request.Spare
 	reserve := 0.0
-	if ask.Spare {
+	if request.Spare {
 		reserve = spareShare * (s.bucket.capacity() - 1)
 	}
 	if !s.announcement.Named || s.bucket.take(now, reserve) {
@@ -97,20 +97,20 @@
 		return reply
 	}
 	reply.Room = s.bucket.delay(now, reserve)
-	if !ask.Spare {
+	if !request.Spare {
 		reply.Room = s.retries.next(now, reply.Room, permitInterval(s.bucket.rate))
 	}
 	return reply
 }
 
 // message returns the message that announces the server's limit to routers.
-func (s *limitedServer) message(now core.Time) *core.LimitTold {
-	return &core.LimitTold{Server: s.life, Limit: s.announcement.message(now)}
+func (s *limitedServer) message(now core.Time) *core.LimitReply {
+	return &core.LimitReply{Server: s.life, Limit: s.announcement.message(now)}
 }
 
 // Active returns the limits in force, for a router that has just connected.
-func (l *Limiter) Active(now core.Time) []core.LimitTold {
-	var all []core.LimitTold
+func (l *Limiter) Active(now core.Time) []core.LimitReply {
+	var all []core.LimitReply
 	for _, instance := range slices.Sorted(maps.Keys(l.servers)) {
 		if s := l.servers[instance]; s.announcement.Named {
 			all = append(all, *s.message(now))
@@ -150,22 +150,22 @@
 
 // FromMessage converts a message to an Announcement in this process's time.
 func FromMessage(now core.Time, message core.ReportedLimit) Announcement {
-	if message.HeardAgo == 0 {
+	if message.ReceivedAgo == 0 {
 		return Announcement{} // none received yet; see Announcement.message
 	}
 	return Announcement{
 		Named: message.Named, PerSecond: message.PerSecond,
-		Sent: now.Add(-message.SentAgo), Received: now.Add(-message.HeardAgo),
+		Sent: now.Add(-message.SentAgo), Received: now.Add(-message.ReceivedAgo),
 	}
 }
 
-// message converts the announcement to a message. HeardAgo is 0 only if none was
+// message converts the announcement to a message. ReceivedAgo is 0 only if none was
 // received.
 func (a Announcement) message(now core.Time) core.ReportedLimit {
 	if !a.received() {
 		return core.ReportedLimit{}
 	}
 	return core.ReportedLimit{
-		Named: a.Named, PerSecond: a.PerSecond, SentAgo: now.Sub(a.Sent), HeardAgo: max(1, now.Sub(a.Received)),
+		Named: a.Named, PerSecond: a.PerSecond, SentAgo: now.Sub(a.Sent), ReceivedAgo: max(1, now.Sub(a.Received)),
 	}
 }
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -9,15 +9,15 @@
 
 func life(born int64) core.ServerLife { return core.ServerLife{Instance: "s", Born: born} }
 
-func limitAsk(born int64, perSecond float64, request uint64) core.LimitAsk {
-	return core.LimitAsk{
-		Server: life(born), Ask: request,
-		Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 20 * time.Millisecond, HeardAgo: 10 * time.Millisecond},
+func limitRequest(born int64, perSecond float64, request uint64) core.LimitRequest {
+	return core.LimitRequest{
+		Server: life(born), RequestID: request,
+		Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 20 * time.Millisecond, ReceivedAgo: 10 * time.Millisecond},
 	}
 }
 
 // countGranted requests a permit each 10 ms for a duration and counts those granted.
-func countGranted(l *Limiter, from core.Time, lasts time.Duration, ask core.LimitAsk) int {
+func countGranted(l *Limiter, from core.Time, lasts time.Duration, ask core.LimitRequest) int {
 	n := 0
 	for t := time.Duration(0); t < lasts; t += 10 * time.Millisecond {
 		if answer, _ := l.Handle(from.Add(t), ask); answer.Granted {
@@ -32,14 +32,14 @@
 // window, and then as many as its limit.
 func TestRequestsBeforeAnnouncementCount(t *testing.T) {
 	l := NewLimiter()
-	first := limitAsk(0, 5, 0)
+	first := limitRequest(0, 5, 0)
 	first.Uncounted = []float64{7, 7, 7, 7, 7, 7, 7, 7}
 	l.Handle(start, first)
-	if n := countGranted(l, start, 1500*time.Millisecond, limitAsk(0, 5, 1)); n > 0 {
+	if n := countGranted(l, start, 1500*time.Millisecond, limitRequest(0, 5, 1)); n > 0 {
 		t.Errorf("%d granted within 1.5 s, after 56 in 4 s", n)
 	}
-	countGranted(l, start.Add(1500*time.Millisecond), 4*time.Second, limitAsk(0, 5, 1))
-	if n := countGranted(l, start.Add(6*time.Second), 4*time.Second, limitAsk(0, 5, 1)); n < 19 || n > 26 { // the bucket allows a burst of one more second
+	countGranted(l, start.Add(1500*time.Millisecond), 4*time.Second, limitRequest(0, 5, 1))
+	if n := countGranted(l, start.Add(6*time.Second), 4*time.Second, limitRequest(0, 5, 1)); n < 19 || n > 26 { // the bucket allows a burst of one more second
 		t.Errorf("%d granted within 4 s, of 5 a second", n)
 	}
 }
@@ -48,14 +48,14 @@
 // other server can.
 func TestSpareRequestsLeaveReserve(t *testing.T) {
 	l := NewLimiter()
-	spare := limitAsk(0, 10, 1)
+	spare := limitRequest(0, 10, 1)
 	spare.Spare = true
 	countGranted(l, start, 4*time.Second, spare)
 	at := start.Add(4 * time.Second)
 	if answer, _ := l.Handle(at, spare); answer.Granted || answer.Room == 0 {
 		t.Errorf("spare: %+v, want it refused with a delay", answer)
 	}
-	if answer, _ := l.Handle(at, limitAsk(0, 10, 2)); !answer.Granted {
+	if answer, _ := l.Handle(at, limitRequest(0, 10, 2)); !answer.Granted {
 		t.Errorf("no other server: %+v, want it granted", answer)
 	}
 }
@@ -64,10 +64,10 @@
 // the same time.
 func TestRefusedRequestsGetDifferentRetryTimes(t *testing.T) {
 	l := NewLimiter()
-	countGranted(l, start, 100*time.Millisecond, limitAsk(0, 2, 1))
+	countGranted(l, start, 100*time.Millisecond, limitRequest(0, 2, 1))
 	var last time.Duration
 	for i := range 5 {
-		answer, _ := l.Handle(start.Add(time.Second/10), limitAsk(0, 2, 1))
+		answer, _ := l.Handle(start.Add(time.Second/10), limitRequest(0, 2, 1))
 		if answer.Granted || answer.Room-last < 400*time.Millisecond && answer.Room < maxRetryDelay-time.Second {
 			t.Fatalf("request %d: %+v after a delay of %v", i, answer, last)
 		}
@@ -79,11 +79,11 @@
 // late message on it must change nothing.
 func TestLimiterSeparatesServerLives(t *testing.T) {
 	l := NewLimiter()
-	l.Handle(start, limitAsk(1, 2, 0))
-	if answer, _ := l.Handle(start, core.LimitAsk{Server: life(2), Ask: 1}); !answer.Granted {
+	l.Handle(start, limitRequest(1, 2, 0))
+	if answer, _ := l.Handle(start, core.LimitRequest{Server: life(2), RequestID: 1}); !answer.Granted {
 		t.Errorf("the next life: %+v, want it granted", answer)
 	}
-	if answer, broadcast := l.Handle(start, limitAsk(1, 2, 1)); answer.Granted || broadcast != nil {
+	if answer, broadcast := l.Handle(start, limitRequest(1, 2, 1)); answer.Granted || broadcast != nil {
 		t.Errorf("a message on the previous life: %+v, %+v", answer, broadcast)
 	}
 	if all := l.Active(start); len(all) != 0 {
@@ -101,14 +101,14 @@
 		broadcast bool
 	}{
 		{core.ReportedLimit{}, false},
-		{limitAsk(0, 5, 0).Limit, true},
-		{limitAsk(0, 5, 0).Limit, false},
-		{limitAsk(0, 9, 0).Limit, true},
-		{core.ReportedLimit{SentAgo: 2, HeardAgo: 1}, true},
-		{core.ReportedLimit{SentAgo: 2, HeardAgo: 1}, false},
+		{limitRequest(0, 5, 0).Limit, true},
+		{limitRequest(0, 5, 0).Limit, false},
+		{limitRequest(0, 9, 0).Limit, true},
+		{core.ReportedLimit{SentAgo: 2, ReceivedAgo: 1}, true},
+		{core.ReportedLimit{SentAgo: 2, ReceivedAgo: 1}, false},
 	} {
 		at = at.Add(time.Second)
-		_, broadcast := l.Handle(at, core.LimitAsk{Server: life(0), Limit: step.message})
+		_, broadcast := l.Handle(at, core.LimitRequest{Server: life(0), Limit: step.message})
 		if (broadcast != nil) != step.broadcast {
 			t.Errorf("message %d: broadcast %+v", i, broadcast)
 		}
@@ -119,7 +119,7 @@
 // does not grow with each server that ever announced a limit.
 func TestRemoveStale(t *testing.T) {
 	l := NewLimiter()
-	l.Handle(start, limitAsk(0, 5, 0))
+	l.Handle(start, limitRequest(0, 5, 0))
 	l.RemoveStale(start.Add(staleAfter))
 	if len(l.servers) != 1 {
 		t.Error("removed too soon")
--- a/internal/loader/event.go
+++ b/internal/loader/event.go
@@ -68,15 +68,15 @@
 
 // QuotaRequested is a router's request for tokens of client accounts.
 type QuotaRequested struct {
-	Router core.HostID
-	Ask    core.QuotaAsk
+	Router  core.HostID
+	Request core.QuotaRequest
 }
 
 // LimitRequested is a router's report of a server's limit, its request for a permit, or
 // both.
 type LimitRequested struct {
-	Router core.HostID
-	Ask    core.LimitAsk
+	Router  core.HostID
+	Request core.LimitRequest
 }
 
 // ConfigRequested is a router's request for a configuration newer than a version.
@@ -130,13 +130,13 @@
 // SendQuota answers a router's request for tokens of client accounts.
 type SendQuota struct {
 	Router core.HostID
-	Answer core.QuotaTold
+	Answer core.QuotaReply
 }
 
 // SendLimit sends a server's limit, or the answer to a request for a permit, to routers.
 type SendLimit struct {
 	Routers []core.HostID
-	Limit   core.LimitTold
+	Limit   core.LimitReply
 }
 
 // RequestSpec asks a router for the engine's configuration that it announced.
--- a/internal/loader/harness_test.go
+++ b/internal/loader/harness_test.go
@@ -23,7 +23,7 @@
 	// forwarded are the messages of other routers that each router received.
 	forwarded map[core.HostID][]core.Message
 	// limits are the messages on servers' limits that each router received.
-	limits map[core.HostID][]core.LimitTold
+	limits map[core.HostID][]core.LimitReply
 	// specRequests are the routers that were asked for the engine's configuration.
 	specRequests []core.HostID
 	// orders are all orders sent, in order.
@@ -70,7 +70,7 @@
 
 func newHarness(t testing.TB, loaded ...string) *harness {
 	w := &harness{
-		t: t, now: core.Time(time.Hour), loader: New(Options{Host: "10.1.0.1"}), holdings: map[core.HostID]core.Holdings{}, messages: map[core.HostID]int{}, forwarded: map[core.HostID][]core.Message{}, limits: map[core.HostID][]core.LimitTold{},
+		t: t, now: core.Time(time.Hour), loader: New(Options{Host: "10.1.0.1"}), holdings: map[core.HostID]core.Holdings{}, messages: map[core.HostID]int{}, forwarded: map[core.HostID][]core.Message{}, limits: map[core.HostID][]core.LimitReply{},
 		engine: &fakeEngine{spec: testSpec(), instance: "i-1"},
 	}
 	for i := range 8 {
--- a/internal/loader/limits.go
+++ b/internal/loader/limits.go
@@ -11,7 +11,7 @@
 
 func (l *Loader) handleLimitRequest(e LimitRequested) {
 	l.limits.RemoveStale(l.now)
-	answer, broadcast := l.limits.Handle(l.now, e.Ask)
+	answer, broadcast := l.limits.Handle(l.now, e.Request)
 	if answer != nil {
 		l.emit(SendLimit{Routers: []core.HostID{e.Router}, Limit: *answer})
 	}
--- a/internal/loader/loader.go
+++ b/internal/loader/loader.go
@@ -180,7 +180,7 @@
 		l.forwardToOthers(e.Router, e.News)
 		return l.out
 	case QuotaRequested:
-		l.emit(SendQuota{Router: e.Router, Answer: *l.quotas.HandleAsk(now, e.Router, e.Ask)})
+		l.emit(SendQuota{Router: e.Router, Answer: *l.quotas.HandleRequest(now, e.Router, e.Request)})
 		return l.out
 	case LimitRequested:
 		l.handleLimitRequest(e)
--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -17,9 +17,9 @@
 	// maxRetryAfter is the largest retry delay: every bucket refills several times within a
 	// window of the bounds in use.
 	maxRetryAfter = 8 * time.Second
-	// maxAskDelay is the longest time for which loaders are not asked again after they had
+	// maxRequestDelay is the longest time for which no tokens are requested again after loaders had
 	// no room. Requests that arrive in that time are refused at once.
-	maxAskDelay = 250 * time.Millisecond
+	maxRequestDelay = 250 * time.Millisecond
 	// atLimitPeriod is how long after a refusal an account counts as being at its bound.
 	// Requests do not wait in that time, since they would take the tokens of requests that
 	// can still be answered in time.
@@ -113,7 +113,7 @@
 		}
 	}
 	switch {
-	case now < a.roomAt && now < a.nextAsk:
+	case now < a.roomAt && now < a.nextRequest:
 		return g.refuse(now, a, cost, RuleLoaders, a.roomAt.Sub(now))
 	case g.waitingCount >= maxWaiting:
 		return g.refuse(now, a, cost, RuleQueueFull, minRetryAfter)
@@ -166,13 +166,13 @@
 
 // decideWaiting decides on an account's waiting requests as far as it can at this time.
 func (g *Gate) decideWaiting(now core.Time, a *account) {
-	g.timeOutAsks(now, a)
+	g.timeOutRequests(now, a)
 	g.admitWaiting(now, a)
 	if len(a.waiting) == 0 {
 		a.refusals = a.refusals[:0]
 		return
 	}
-	if len(a.pending) > 0 || g.canAskMore(now, a) {
+	if len(a.pending) > 0 || g.canRequestMore(now, a) {
 		return
 	}
 	if len(g.links) == 0 && g.home.share > 0 {
@@ -184,7 +184,7 @@
 	}
 	if now < g.gapUntil {
 		a.refusals = a.refusals[:0]
-		a.nextAsk = max(a.nextAsk, now.Add(emptyAskInterval))
+		a.nextRequest = max(a.nextRequest, now.Add(emptyAskInterval))
 		g.refuseExpired(now, a)
 		return
 	}
@@ -192,7 +192,7 @@
 	atBound := a.refusedAt != 0 && now.Sub(a.refusedAt) < atLimitPeriod
 	if !atBound && room <= nearRoom && now.Sub(a.waiting[0].since) < nearRoomWait {
 		a.refusals = a.refusals[:0]
-		a.nextAsk = now.Add(room)
+		a.nextRequest = now.Add(room)
 		return
 	}
 	g.refuseAll(now, a, room)
@@ -268,7 +268,7 @@
 
 // refuseAll refuses all waiting requests and delays the next token request to the loaders.
 func (g *Gate) refuseAll(now core.Time, a *account, room time.Duration) {
-	a.roomAt, a.nextAsk, a.refusedAt = now.Add(room), now.Add(min(room, maxAskDelay)), now
+	a.roomAt, a.nextRequest, a.refusedAt = now.Add(room), now.Add(min(room, maxRequestDelay)), now
 	a.refusals = a.refusals[:0]
 	for len(a.waiting) > 0 {
 		w := a.waiting[0]
--- a/internal/quota/ask.go
+++ b/internal/quota/ask.go
@@ -34,34 +34,34 @@
 	largeShare = 0.25
 )
 
-// link is a loader that keeps the bounds and can be asked.
+// link is a loader that enforces the bounds and accepts token requests.
 type link struct {
 	name core.HostID
 	// stamp is the loader's time in its last answer, 0 before the first answer. life
 	// identifies the loader's process: it differs after each restart.
 	stamp core.QuotaStamp
 	life  core.Time
-	// askedAt is the time of the last token request, lastLent the number of slots that it
+	// requestedAt is the time of the last token request, lastLent the number of slots that it
 	// lent.
-	askedAt  core.Time
-	lastLent int
+	requestedAt core.Time
+	lastLent    int
 	// sent are the unanswered token requests.
-	sent []sentAsk
+	sent []sentRequest
 	// limits are the accounts whose limits were sent to the loader.
 	limits map[string]bool
-	// adoptAsk is the last message that asked whether the loader still holds a slot; its
+	// adoptRequest is the last message that queried whether the loader still holds a slot; its
 	// number is 0 once it is answered. Until then the loader may have renewed the loan of
 	// the slot.
-	adoptAsk sentAsk
+	adoptRequest sentRequest
 }
 
-type sentAsk struct {
+type sentRequest struct {
 	number uint64
 	at     core.Time
 }
 
-// pendingAsk is an unanswered token request for an account.
-type pendingAsk struct {
+// pendingRequest is an unanswered token request for an account.
+type pendingRequest struct {
 	to     core.HostID
 	number uint64
 	at     core.Time
@@ -75,10 +75,10 @@
 	room  time.Duration
 }
 
-// Ask is a message to a loader.
-type Ask struct {
+// Request is a message to a loader.
+type Request struct {
 	To      core.HostID
-	Message core.QuotaAsk
+	Message core.QuotaRequest
 }
 
 func (g *Gate) link(name core.HostID) *link {
@@ -90,21 +90,21 @@
 	return nil
 }
 
-// Asks returns the messages to loaders that are due.
-func (g *Gate) Asks(now core.Time) []Ask {
+// Requests returns the messages to loaders that are due.
+func (g *Gate) Requests(now core.Time) []Request {
 	if !g.due || len(g.accounts) == 0 || len(g.links) == 0 {
 		return nil
 	}
 	g.due = false
 	g.placeSlots(now)
 	needs := g.needs(now)
-	var asks []Ask
+	var requests []Request
 	for _, l := range g.links {
-		if len(needs[l.name]) > 0 || now.Sub(l.askedAt) >= g.renewInterval() || l.lastLent != g.lentSlots(l) {
-			asks = append(asks, g.ask(now, l, needs[l.name]))
+		if len(needs[l.name]) > 0 || now.Sub(l.requestedAt) >= g.renewInterval() || l.lastLent != g.lentSlots(l) {
+			requests = append(requests, g.newRequest(now, l, needs[l.name]))
 		}
 	}
-	return asks
+	return requests
 }
 
 // renewInterval is the longest time between two messages to a loader.
@@ -115,10 +115,10 @@
 	return renewInterval
 }
 
-// ask creates a message to a loader, which also renews the loans to it.
-func (g *Gate) ask(now core.Time, l *link, needs []core.QuotaNeed) Ask {
+// newRequest creates a message to a loader, which also renews the loans to it.
+func (g *Gate) newRequest(now core.Time, l *link, needs []core.QuotaNeed) Request {
 	g.number++
-	m := core.QuotaAsk{Number: g.number, Stamp: l.stamp, Leaving: g.leaving, Needs: needs}
+	m := core.QuotaRequest{Number: g.number, Stamp: l.stamp, Leaving: g.leaving, Needs: needs}
 	if l.stamp == 0 {
 		m.Window = g.bounds.Window
 	}
@@ -128,7 +128,7 @@
 		m.Adopt = m.Slots == 0 && slices.ContainsFunc(g.slots[:], l.mayHold)
 	}
 	if m.Adopt {
-		l.adoptAsk = sentAsk{number: g.number, at: now}
+		l.adoptRequest = sentRequest{number: g.number, at: now}
 	}
 	for i := range g.slots {
 		if m.Slots > 0 && g.slots[i].to == l.name {
@@ -144,14 +144,14 @@
 			m.Limits = append(m.Limits, core.QuotaLimit{Account: need.Account, Version: g.version, Most: g.accounts[need.Account].maxUse})
 		}
 	}
-	l.askedAt = now
-	l.sent = append(l.sent, sentAsk{number: g.number, at: now})
-	return Ask{To: l.name, Message: m}
+	l.requestedAt = now
+	l.sent = append(l.sent, sentRequest{number: g.number, at: now})
+	return Request{To: l.name, Message: m}
 }
 
 func (g *Gate) addPending(now core.Time, l *link, name string) {
 	a := g.accounts[name]
-	a.pending = append(a.pending, pendingAsk{to: l.name, number: g.number, at: now})
+	a.pending = append(a.pending, pendingRequest{to: l.name, number: g.number, at: now})
 }
 
 // needs returns the token requests that are due, by loader.
@@ -159,7 +159,7 @@
 	needs := map[core.HostID][]core.QuotaNeed{}
 	for _, name := range sortedKeys(g.accounts) {
 		a := g.accounts[name]
-		if len(a.pending) > 0 || now < a.nextAsk {
+		if len(a.pending) > 0 || now < a.nextRequest {
 			continue
 		}
 		cost, ahead := g.wanted(now, a)
@@ -199,7 +199,7 @@
 	return cost, max(0, ahead)
 }
 
-// bestFor returns the loader to ask for an account's tokens: of those that have not refused
+// bestFor returns the loader to request an account's tokens from: of those that have not refused
 // in this round, the one with the highest known level. It returns nil if there is none.
 func (g *Gate) bestFor(now core.Time, a *account) *link {
 	var best *link
@@ -226,8 +226,9 @@
 	return slices.ContainsFunc(a.refusals, func(r refusal) bool { return r.from == name })
 }
 
-// canAskMore reports whether another loader can be asked for the waiting requests.
-func (g *Gate) canAskMore(now core.Time, a *account) bool {
+// canRequestMore reports whether tokens for the waiting requests can be requested from
+// another loader.
+func (g *Gate) canRequestMore(now core.Time, a *account) bool {
 	l := g.bestFor(now, a)
 	if l == nil {
 		return false
@@ -235,23 +236,23 @@
 	if len(a.refusals) == 0 {
 		return true
 	}
-	// A loader that reported too low a level a moment ago is not asked either.
+	// No request is sent to a loader that reported too low a level a moment ago either.
 	t, known := a.remaining[l.name]
-	return !known || now.Sub(t.at) >= maxAskDelay || t.level >= a.waiting[0].cost
+	return !known || now.Sub(t.at) >= maxRequestDelay || t.level >= a.waiting[0].cost
 }
 
-// timeOutAsks counts token requests that were not answered in time as refused.
-func (g *Gate) timeOutAsks(now core.Time, a *account) {
+// timeOutRequests counts token requests that were not answered in time as refused.
+func (g *Gate) timeOutRequests(now core.Time, a *account) {
 	for _, q := range a.pending {
 		if now.Sub(q.at) >= answerTimeout {
 			a.refusals = append(a.refusals, refusal{from: q.to, room: minRetryAfter})
 		}
 	}
-	a.pending = slices.DeleteFunc(a.pending, func(q pendingAsk) bool { return now.Sub(q.at) >= answerTimeout })
+	a.pending = slices.DeleteFunc(a.pending, func(q pendingRequest) bool { return now.Sub(q.at) >= answerTimeout })
 }
 
 // HandleAnswer processes a loader's answer.
-func (g *Gate) HandleAnswer(now core.Time, from core.HostID, m core.QuotaTold) {
+func (g *Gate) HandleAnswer(now core.Time, from core.HostID, m core.QuotaReply) {
 	l := g.link(from)
 	if l == nil {
 		return
@@ -267,13 +268,13 @@
 	if m.Held > 0 {
 		g.adoptSlots(l, m.Held)
 	}
-	if m.Number >= l.adoptAsk.number {
-		l.adoptAsk = sentAsk{}
+	if m.Number >= l.adoptRequest.number {
+		l.adoptRequest = sentRequest{}
 	}
 	for _, name := range m.Unknown {
 		delete(l.limits, name)
 		if a := g.accounts[name]; a != nil {
-			a.closeAsk(from, m.Number)
+			a.closeRequest(from, m.Number)
 		}
 	}
 	for _, grant := range m.Grants {
@@ -290,8 +291,8 @@
 }
 
 // answered marks a message as answered and returns the time at which it was sent.
-func (l *link) answered(m core.QuotaTold) core.Time {
-	i := slices.IndexFunc(l.sent, func(s sentAsk) bool { return s.number == m.Number })
+func (l *link) answered(m core.QuotaReply) core.Time {
+	i := slices.IndexFunc(l.sent, func(s sentRequest) bool { return s.number == m.Number })
 	if i < 0 {
 		return 0
 	}
@@ -300,8 +301,8 @@
 	return at
 }
 
-func (g *Gate) applyGrant(now core.Time, a *account, l *link, m core.QuotaTold, grant core.QuotaGrant, at core.Time) {
-	wasOpen := a.closeAsk(l.name, m.Number)
+func (g *Gate) applyGrant(now core.Time, a *account, l *link, m core.QuotaReply, grant core.QuotaGrant, at core.Time) {
+	wasOpen := a.closeRequest(l.name, m.Number)
 	a.remaining[l.name] = levelReport{level: float64(grant.Left), at: now}
 	until := at.Add(GrantLifetime)
 	if grant.Granted > 0 && now < until {
@@ -313,9 +314,9 @@
 	g.decideWaiting(now, a)
 }
 
-// closeAsk removes a pending token request and reports whether it was pending.
-func (a *account) closeAsk(from core.HostID, number uint64) bool {
+// closeRequest removes a pending token request and reports whether it was pending.
+func (a *account) closeRequest(from core.HostID, number uint64) bool {
 	before := len(a.pending)
-	a.pending = slices.DeleteFunc(a.pending, func(q pendingAsk) bool { return q.to == from && q.number == number })
+	a.pending = slices.DeleteFunc(a.pending, func(q pendingRequest) bool { return q.to == from && q.number == number })
 	return len(a.pending) < before
 }
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -45,7 +45,7 @@
 	peakAt      core.Time
 	// due is set while messages to loaders may be due.
 	due bool
-	// leaving is set once the router stops for good.
+	// leaving is set once the router is shutting down permanently.
 	leaving bool
 	// waitingCount is the number of waiting requests; verdicts are the decisions since the
 	// last call of Verdicts.
@@ -75,10 +75,10 @@
 	waiting []waiter
 	// pending are the unanswered token requests of this round, refusals the answers without
 	// a grant. A round lasts until the waiting requests are decided.
-	pending  []pendingAsk
+	pending  []pendingRequest
 	refusals []refusal
-	// nextAsk is the earliest time of the next token request.
-	nextAsk core.Time
+	// nextRequest is the earliest time of the next token request.
+	nextRequest core.Time
 	// remaining is the level that each loader last reported.
 	remaining map[core.HostID]levelReport
 	// roomAt is when the loaders have room again, refusedAt when they last had none;
--- a/internal/quota/granter.go
+++ b/internal/quota/granter.go
@@ -40,7 +40,7 @@
 	// lent.
 	slots, routers int
 	since, until   core.Time
-	// leaving is set once the router stops for good.
+	// leaving is set once the router is shutting down permanently.
 	leaving bool
 }
 
@@ -49,26 +49,26 @@
 	return &Granter{members: map[core.HostID]*member{}, retries: map[string]*retryQueue{}, nextChange: core.Never}
 }
 
-// HandleAsk processes a router's message and returns the answer.
-func (g *Granter) HandleAsk(now core.Time, from core.HostID, ask core.QuotaAsk) *core.QuotaTold {
+// HandleRequest processes a router's message and returns the answer.
+func (g *Granter) HandleRequest(now core.Time, from core.HostID, request core.QuotaRequest) *core.QuotaReply {
 	g.expireLoans(now)
-	if ask.Window > 0 {
-		g.holder.setWindow(now, ask.Window)
+	if request.Window > 0 {
+		g.holder.setWindow(now, request.Window)
 	}
-	for _, l := range ask.Limits {
+	for _, l := range request.Limits {
 		g.holder.setBound(now, l.Account, l.Most, l.Version)
 	}
 	m := g.member(now, from)
-	m.leaving = ask.Leaving
+	m.leaving = request.Leaving
 	g.recount(now)
-	answer := &core.QuotaTold{Number: ask.Number, Stamp: g.stamp(now)}
-	if ask.Stamp == 0 {
+	answer := &core.QuotaReply{Number: request.Number, Stamp: g.stamp(now)}
+	if request.Stamp == 0 {
 		answer.Life = g.startedAt
 	}
-	if until := g.timeOfStamp(ask.Stamp).Add(LoanDuration); ask.Stamp != 0 && until > now {
-		answer.Held = g.renewLoan(now, m, ask, until)
+	if until := g.timeOfStamp(request.Stamp).Add(LoanDuration); request.Stamp != 0 && until > now {
+		answer.Held = g.renewLoan(now, m, request, until)
 	}
-	for _, need := range ask.Needs {
+	for _, need := range request.Needs {
 		g.answerNeed(now, need, answer)
 	}
 	answer.Members = g.routers
@@ -100,9 +100,9 @@
 	return m
 }
 
-// renewLoan records what a router lends until a time. If the router asks whether its slots
+// renewLoan records what a router lends until a time. If the router queries whether its slots
 // are still held, they stay on loan and their number is returned.
-func (g *Granter) renewLoan(now core.Time, m *member, ask core.QuotaAsk, until core.Time) (held int) {
+func (g *Granter) renewLoan(now core.Time, m *member, ask core.QuotaRequest, until core.Time) (held int) {
 	changed := false
 	switch {
 	case ask.Slots > 0 && ask.Routers > 0:
@@ -194,7 +194,7 @@
 }
 
 // answerNeed grants a router's token request or reports when there will be room.
-func (g *Granter) answerNeed(now core.Time, need core.QuotaNeed, answer *core.QuotaTold) {
+func (g *Granter) answerNeed(now core.Time, need core.QuotaNeed, answer *core.QuotaReply) {
 	b := g.holder.bucket(now, need.Account)
 	if b == nil {
 		answer.Unknown = append(answer.Unknown, need.Account)
@@ -219,8 +219,8 @@
 }
 
 // grantAhead grants tokens that a router expects to need soon, up to half of those beyond
-// the reserve: the other half is for the routers that ask next. It grants nothing if that
-// is less than half of what was asked for, which would go to waste where requests are
+// the reserve: the other half is for the next requests of routers. It grants nothing if
+// that is less than half of what was requested, which would go to waste where requests are
 // larger.
 func (g *Granter) grantAhead(b *bucket, reserve, ahead float64) int64 {
 	granted := min(ahead, (g.holder.grantable(b)-reserve)/2)
--- a/internal/quota/loan.go
+++ b/internal/quota/loan.go
@@ -63,12 +63,12 @@
 		if s.to == l.name {
 			s.to = ""
 		}
-		if l.adoptAsk.number != 0 && l.mayHold(*s) {
-			s.until = max(s.until, l.adoptAsk.at.Add(returnDelay))
+		if l.adoptRequest.number != 0 && l.mayHold(*s) {
+			s.until = max(s.until, l.adoptRequest.at.Add(returnDelay))
 		}
 	}
 	for _, a := range g.accounts {
-		a.pending = slices.DeleteFunc(a.pending, func(q pendingAsk) bool { return q.to == l.name })
+		a.pending = slices.DeleteFunc(a.pending, func(q pendingRequest) bool { return q.to == l.name })
 		delete(a.remaining, l.name)
 	}
 }
@@ -94,7 +94,7 @@
 
 // beingAdopted reports whether a loader that was asked may continue to hold the slot.
 func (g *Gate) beingAdopted(s slot) bool {
-	return slices.ContainsFunc(g.links, func(l *link) bool { return l.adoptAsk.number != 0 && l.mayHold(s) })
+	return slices.ContainsFunc(g.links, func(l *link) bool { return l.adoptRequest.number != 0 && l.mayHold(s) })
 }
 
 // adoptSlots continues the loans of this router's previous process or previous connection
@@ -105,7 +105,7 @@
 		s := &g.slots[i]
 		if held > 0 && l.mayHold(*s) {
 			s.to = l.name
-			s.until = max(s.until, l.adoptAsk.at.Add(returnDelay))
+			s.until = max(s.until, l.adoptRequest.at.Add(returnDelay))
 			s.last, s.life = l.name, l.life
 			held--
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -151,7 +151,7 @@
 func TestOlderLimitsAreIgnored(t *testing.T) {
 	k := NewGranter()
 	sendLimit := func(version int64, most float64) {
-		k.HandleAsk(start, "r", core.QuotaAsk{Window: 8 * time.Second, Limits: []core.QuotaLimit{{Account: "a", Version: version, Most: most}}})
+		k.HandleRequest(start, "r", core.QuotaRequest{Window: 8 * time.Second, Limits: []core.QuotaLimit{{Account: "a", Version: version, Most: most}}})
 	}
 	sendLimit(2, 800)
 	sendLimit(3, 80)
@@ -264,16 +264,16 @@
 // message was delayed.
 func TestLoanStartsAtTheLoadersStamp(t *testing.T) {
 	k := NewGranter()
-	first := k.HandleAsk(start, "r", core.QuotaAsk{Number: 1, Window: 8 * time.Second})
+	first := k.HandleRequest(start, "r", core.QuotaRequest{Number: 1, Window: 8 * time.Second})
 	late := start.Add(LoanDuration - 50*time.Millisecond)
-	k.HandleAsk(late, "r", core.QuotaAsk{Number: 2, Stamp: first.Stamp, Slots: Slots, Routers: 1})
+	k.HandleRequest(late, "r", core.QuotaRequest{Number: 2, Stamp: first.Stamp, Slots: Slots, Routers: 1})
 	if share := k.Share(late); share != 1 {
 		t.Errorf("lent %.2f", share)
 	}
 	if share := k.Share(start.Add(LoanDuration)); share != 0 {
 		t.Errorf("lent %.2f after the end of the loan", share)
 	}
-	k.HandleAsk(start.Add(LoanDuration), "r", core.QuotaAsk{Number: 3, Stamp: first.Stamp, Slots: Slots, Routers: 1})
+	k.HandleRequest(start.Add(LoanDuration), "r", core.QuotaRequest{Number: 3, Stamp: first.Stamp, Slots: Slots, Routers: 1})
 	if share := k.Share(start.Add(LoanDuration)); share != 0 {
 		t.Errorf("an expired loan counts as %.2f", share)
 	}
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -62,8 +62,8 @@
 	at                     core.Time
 	router, loader         int
 	routerLife, loaderLife int
-	ask                    *core.QuotaAsk
-	answer                 *core.QuotaTold
+	ask                    *core.QuotaRequest
+	answer                 *core.QuotaReply
 }
 
 type testUse struct {
@@ -174,7 +174,7 @@
 		w.record(r, r.waiting[v.Key], v.Decision)
 		delete(r.waiting, v.Key)
 	}
-	for _, ask := range r.gate.Asks(w.now) {
+	for _, ask := range r.gate.Requests(w.now) {
 		loader := slices.IndexFunc(w.loaders, func(l *testLoader) bool { return l.name == ask.To })
 		w.messages = append(w.messages, testMessage{
 			at: w.now.Add(messageDelay), router: router, loader: loader, routerLife: r.life, loaderLife: w.loaders[loader].life, ask: &ask.Message,
@@ -194,7 +194,7 @@
 		case x.at > w.now || w.now < l.cut[x.router] || x.ask != nil && w.now < l.pausedUntil || x.answer != nil && w.now < r.pausedUntil:
 			w.messages = append(w.messages, x)
 		case x.ask != nil:
-			x.answer = l.granter.HandleAsk(w.now, r.name, *x.ask)
+			x.answer = l.granter.HandleRequest(w.now, r.name, *x.ask)
 			x.at, x.ask = w.now.Add(messageDelay), nil
 			w.messages = append(w.messages, x)
 		default:
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -14,12 +14,12 @@
 // request.
 
 const (
-	// askConfigAfter is how long the router waits for its own read of an announced version,
+	// requestConfigAfter is how long the router waits for its own read of an announced version,
 	// which takes some ms if the store answers.
-	askConfigAfter = 300 * time.Millisecond
-	// askConfigPause is the pause between two requests to loaders: several fit into the
+	requestConfigAfter = 300 * time.Millisecond
+	// configRequestInterval is the pause between two requests to loaders: several fit into the
 	// shortest time within which a configuration must be in force.
-	askConfigPause = 300 * time.Millisecond
+	configRequestInterval = 300 * time.Millisecond
 	// configLoaders is how many loaders are asked at once: one may be frozen or
 	// unreachable.
 	configLoaders = 2
@@ -42,8 +42,9 @@
 // announcedConfig is the newest version that was announced.
 type announcedConfig struct {
 	version int64
-	// at is when the version was first announced, nextAsk when loaders are asked next.
-	at, nextAsk core.Time
+	// at is when the version was first announced, nextRequest the earliest
+	// time of the next request to loaders.
+	at, nextRequest core.Time
 }
 
 // Config returns the configuration in force, nil without one. It is immutable.
@@ -57,25 +58,25 @@
 		return
 	}
 	r.announced = announcedConfig{version: version, at: r.now}
-	r.askConfig()
+	r.requestConfig()
 }
 
-// askConfig asks loaders for a version that was announced and is not in force: immediately
+// requestConfig requests from loaders a version that was announced and is not in force: immediately
 // if the store does not answer this router, otherwise after the time for a read of its own.
-func (r *Router) askConfig() {
+func (r *Router) requestConfig() {
 	h := &r.announced
-	if !r.configPending() || r.now < h.nextAsk {
+	if !r.configPending() || r.now < h.nextRequest {
 		return
 	}
-	if r.ownReadsFailSince == 0 && r.now.Sub(h.at) < r.ConfigRelayWait()+askConfigAfter {
+	if r.ownReadsFailSince == 0 && r.now.Sub(h.at) < r.ConfigRelayWait()+requestConfigAfter {
 		return
 	}
 	to := r.Relays(configLoaders)
 	if len(to) == 0 {
 		return
 	}
-	h.nextAsk = r.now.Add(askConfigPause)
+	h.nextRequest = r.now.Add(configRequestInterval)
 	r.log(StateChange, "configuration can't be read; asking other routers", slog.Int64("version", h.version),
 		slog.Int64("in_force", r.ConfigVersion()), slog.String("heard_ago", r.now.Sub(h.at).String()))
-	r.emit(AskConfig{Loaders: to, Wanted: core.ConfigWanted{Above: r.ConfigVersion()}})
+	r.emit(RequestConfig{Loaders: to, Wanted: core.ConfigWanted{Above: r.ConfigVersion()}})
 }
--- a/internal/router/config_test.go
+++ b/internal/router/config_test.go
@@ -17,17 +17,17 @@
 	w.reportHoldings(0, core.Holdings{Instance: "s0"})
 	w.step(StoreState{Reachable: false})
 	w.step(ConfigAnnounced{Version: 3})
-	if len(w.configAsks) != 1 || w.configAsks[0].Wanted.Above != 2 {
-		t.Fatalf("asked %+v, want once, above 2", w.configAsks)
+	if len(w.configRequests) != 1 || w.configRequests[0].Wanted.Above != 2 {
+		t.Fatalf("asked %+v, want once, above 2", w.configRequests)
 	}
 	w.run(time.Second)
-	if got := len(w.configAsks); got < 3 || got > 5 {
+	if got := len(w.configRequests); got < 3 || got > 5 {
 		t.Errorf("asked %d times within a second", got)
 	}
 	w.step(ConfigRead{Config: accountsConfig(3)})
-	asked := len(w.configAsks)
+	asked := len(w.configRequests)
 	w.run(time.Second)
-	if len(w.configAsks) > asked {
+	if len(w.configRequests) > asked {
 		t.Error("asked for a configuration that is in force")
 	}
 	w.wantCode(w.callWith("once", validKey), code.UnknownKey)
@@ -40,11 +40,11 @@
 	w.servers(engineService, 3)
 	w.reportHoldings(0, core.Holdings{Instance: "s0"})
 	w.step(ConfigAnnounced{Version: 3})
-	w.run(askConfigAfter / 2)
+	w.run(requestConfigAfter / 2)
 	w.step(ConfigRead{Config: accountsConfig(3, validKey)})
 	w.run(time.Second)
-	if len(w.configAsks) > 0 {
-		t.Errorf("asked %+v", w.configAsks)
+	if len(w.configRequests) > 0 {
+		t.Errorf("asked %+v", w.configRequests)
 	}
 }
 
@@ -76,12 +76,12 @@
 			t.Errorf("%d routers wait %v, want %v", routers, got, want)
 		}
 		w.step(ConfigAnnounced{Version: 5})
-		w.run(askConfigAfter + want - tickInterval)
-		if len(w.configAsks) > 0 {
+		w.run(requestConfigAfter + want - tickInterval)
+		if len(w.configRequests) > 0 {
 			t.Errorf("%d routers: asked while it is on its way", routers)
 		}
 		w.run(2 * tickInterval)
-		if len(w.configAsks) == 0 {
+		if len(w.configRequests) == 0 {
 			t.Errorf("%d routers: not asked when it did not come", routers)
 		}
 	}
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -115,25 +115,26 @@
 	Digest core.LoadDigest
 }
 
-// AskConfig asks loaders for a configuration above a version. ConfigRead follows if any
+// RequestConfig requests from loaders a configuration above a version. ConfigRead follows if any
 // router has one.
-type AskConfig struct {
+type RequestConfig struct {
 	Loaders []core.HostID
 	Wanted  core.ConfigWanted
 }
 
-// AskQuota asks a loader for tokens of client accounts. LoaderAnsweredQuota follows.
-type AskQuota struct {
-	Loader core.HostID
-	Ask    core.QuotaAsk
+// SendQuotaRequest requests tokens of client accounts from a loader. LoaderAnsweredQuota
+// follows.
+type SendQuotaRequest struct {
+	Loader  core.HostID
+	Request core.QuotaRequest
 }
 
-// AskLimit sends what is known of a server's limit to the loader that counts the requests
-// for it, and may ask that loader for a permit. LoaderAnsweredLimit follows if a permit was
-// asked for.
-type AskLimit struct {
-	Loader core.HostID
-	Ask    core.LimitAsk
+// SendLimitRequest reports a server's limit to the loader that counts the requests to it, and
+// may request a permit from that loader. LoaderAnsweredLimit follows if a permit was
+// requested.
+type SendLimitRequest struct {
+	Loader  core.HostID
+	Request core.LimitRequest
 }
 
 // Publish writes news of poison requests to the platform's store under a name, replacing
@@ -147,22 +148,22 @@
 // StoreState.
 type ReadStore struct{}
 
-func (ReadStore) effect()   {}
-func (AskConfig) effect()   {}
-func (AskQuota) effect()    {}
-func (AskLimit) effect()    {}
-func (RelayPoison) effect() {}
-func (RelayDigest) effect() {}
-func (Publish) effect()     {}
-func (Send) effect()        {}
-func (Forward) effect()     {}
-func (Finish) effect()      {}
-func (Abandon) effect()     {}
-func (Reconnect) effect()   {}
-func (Dial) effect()        {}
-func (Hangup) effect()      {}
-func (SendDemand) effect()  {}
-func (Wake) effect()        {}
-func (Log) effect()         {}
-func (Count) effect()       {}
-func (Observe) effect()     {}
+func (ReadStore) effect()        {}
+func (RequestConfig) effect()    {}
+func (SendQuotaRequest) effect() {}
+func (SendLimitRequest) effect() {}
+func (RelayPoison) effect()      {}
+func (RelayDigest) effect()      {}
+func (Publish) effect()          {}
+func (Send) effect()             {}
+func (Forward) effect()          {}
+func (Finish) effect()           {}
+func (Abandon) effect()          {}
+func (Reconnect) effect()        {}
+func (Dial) effect()             {}
+func (Hangup) effect()           {}
+func (SendDemand) effect()       {}
+func (Wake) effect()             {}
+func (Log) effect()              {}
+func (Count) effect()            {}
+func (Observe) effect()          {}
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -76,17 +76,17 @@
 // LoaderSpecRequested reports that a loader asks for its engine's configuration.
 type LoaderSpecRequested struct{ Loader core.HostID }
 
-// LoaderAnsweredQuota delivers a loader's answer to AskQuota.
+// LoaderAnsweredQuota delivers a loader's answer to SendQuotaRequest.
 type LoaderAnsweredQuota struct {
 	Loader core.HostID
-	Answer core.QuotaTold
+	Answer core.QuotaReply
 }
 
 // LoaderAnsweredLimit delivers a message from the loader that counts the requests to a
 // server with a limit.
 type LoaderAnsweredLimit struct {
 	Loader core.HostID
-	Answer core.LimitTold
+	Answer core.LimitReply
 }
 
 // Arrived reports a new request whose body has been read.
--- a/internal/router/fixture_test.go
+++ b/internal/router/fixture_test.go
@@ -27,12 +27,12 @@
 	published []Publish
 	// storeReads counts the reads of the store that were requested.
 	storeReads int
-	// limitAsks are the messages and questions on servers' limits.
-	limitAsks []AskLimit
-	// configAsks are the questions for a configuration.
-	configAsks []AskConfig
-	// quotaAsks are the questions for tokens of client accounts.
-	quotaAsks []AskQuota
+	// limitRequests are the reports of servers' limits and the permit requests.
+	limitRequests []SendLimitRequest
+	// configRequests are the requests for a configuration.
+	configRequests []RequestConfig
+	// quotaRequests are the requests for tokens of client accounts.
+	quotaRequests []SendQuotaRequest
 }
 
 const (
@@ -114,12 +114,12 @@
 			w.relayed = append(w.relayed, e)
 		case Publish:
 			w.published = append(w.published, e)
-		case AskLimit:
-			w.limitAsks = append(w.limitAsks, e)
-		case AskConfig:
-			w.configAsks = append(w.configAsks, e)
-		case AskQuota:
-			w.quotaAsks = append(w.quotaAsks, e)
+		case SendLimitRequest:
+			w.limitRequests = append(w.limitRequests, e)
+		case RequestConfig:
+			w.configRequests = append(w.configRequests, e)
+		case SendQuotaRequest:
+			w.quotaRequests = append(w.quotaRequests, e)
 		case ReadStore:
 			w.storeReads++
 		case Log:
--- a/internal/router/permit.go
+++ b/internal/router/permit.go
@@ -29,15 +29,15 @@
 func (r *Router) permitted(req *request, b *backend, spare bool) bool {
 	gate := b.limit.gate
 	gate.RecordIntent(r.now)
-	switch keeper := r.limitLoader(b); {
+	switch limiting := r.limitLoader(b); {
 	case req.granted == b:
 		req.granted = nil
 		return true
 	case !b.limited():
 		gate.RecordSent(r.now)
 		return true
-	case keeper != nil && gate.NeedsPermit(r.now):
-		r.askPermit(req, b, keeper, spare)
+	case limiting != nil && gate.NeedsPermit(r.now):
+		r.requestPermit(req, b, limiting, spare)
 		return false
 	case gate.TakeTurn(r.now, r.routers()):
 		gate.RecordSent(r.now)
@@ -50,18 +50,18 @@
 	}
 }
 
-func (r *Router) askPermit(req *request, b *backend, keeper *loader, spare bool) {
+func (r *Router) requestPermit(req *request, b *backend, limiting *loader, spare bool) {
 	r.leaveWait(req)
 	req.asking, req.askedAt = b, r.now
 	ask := r.limitMessage(b)
-	ask.Ask, ask.Spare = uint64(req.key), spare
-	r.emit(AskLimit{Loader: keeper.name, Ask: ask})
+	ask.RequestID, ask.Spare = uint64(req.key), spare
+	r.emit(SendLimitRequest{Loader: limiting.name, Request: ask})
 }
 
 // permitAnswered continues with a request whose permit was granted or refused. If the
 // request has ended meanwhile, the permit remains unused.
-func (r *Router) permitAnswered(b *backend, answer core.LimitTold) {
-	req := r.requests[Key(answer.Ask)]
+func (r *Router) permitAnswered(b *backend, answer core.LimitReply) {
+	req := r.requests[Key(answer.RequestID)]
 	if req == nil || req.asking != b {
 		r.countPermit(b, "unused")
 		return
--- a/internal/router/quota.go
+++ b/internal/router/quota.go
@@ -101,8 +101,8 @@
 			r.accept(req)
 		}
 	}
-	for _, ask := range r.gate.Asks(r.now) {
-		r.emit(AskQuota{Loader: ask.To, Ask: ask.Message})
+	for _, ask := range r.gate.Requests(r.now) {
+		r.emit(SendQuotaRequest{Loader: ask.To, Request: ask.Message})
 	}
 }
 
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -13,12 +13,12 @@
 // quotaFixture is a router with a loader that keeps the quotas of an account.
 type quotaFixture struct {
 	*fixture
-	keeper *quota.Granter
+	granter *quota.Granter
 }
 
 // newQuotaFixture returns a router that has lent its share to the loader of an engine.
 func newQuotaFixture(t *testing.T) *quotaFixture {
-	w := &quotaFixture{fixture: newFixture(t), keeper: quota.NewGranter()}
+	w := &quotaFixture{fixture: newFixture(t), granter: quota.NewGranter()}
 	bounds := testBounds()
 	bounds.QuotaWindow, bounds.QuotaRouters = 8*time.Second, 1
 	w.router.SetBounds(bounds)
@@ -37,10 +37,10 @@
 // answer delivers the loader's answers to its questions.
 func (w *quotaFixture) answer() {
 	w.t.Helper()
-	asks := w.quotaAsks
-	w.quotaAsks = nil
+	asks := w.quotaRequests
+	w.quotaRequests = nil
 	for _, ask := range asks {
-		w.step(LoaderAnsweredQuota{Loader: ask.Loader, Answer: *w.keeper.HandleAsk(w.now, "10.0.0.1", ask.Ask)})
+		w.step(LoaderAnsweredQuota{Loader: ask.Loader, Answer: *w.granter.HandleRequest(w.now, "10.0.0.1", ask.Request)})
 	}
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -318,7 +318,7 @@
 	r.checkDigests()
 	r.checkLoaders()
 	r.sendDigest()
-	r.askConfig()
+	r.requestConfig()
 	r.checkHeld()
 	r.tickQuotas()
 	r.checkRequests()
--- a/internal/router/serverlimit.go
+++ b/internal/router/serverlimit.go
@@ -65,7 +65,7 @@
 	if incarnation.Compare(b.Incarnation) == 0 {
 		r.applyLimit(b, "loader "+string(e.Loader), limit.FromMessage(r.now, e.Answer.Limit))
 	}
-	if e.Answer.Ask != 0 {
+	if e.Answer.RequestID != 0 {
 		r.permitAnswered(b, e.Answer)
 	}
 }
@@ -127,32 +127,32 @@
 // service's server has none: all routers that know the same engines choose the same loader
 // by rendezvous hashing.
 func (r *Router) limitLoader(b *backend) *loader {
-	keeper := b.loader
-	if keeper == nil {
-		keeper = r.plainLimitLoader(b)
+	limiting := b.loader
+	if limiting == nil {
+		limiting = r.plainLimitLoader(b)
 	}
-	if keeper == nil || !keeper.up {
+	if limiting == nil || !limiting.up {
 		return nil
 	}
-	return keeper
+	return limiting
 }
 
-func (r *Router) plainLimitLoader(b *backend) (keeper *loader) {
+func (r *Router) plainLimitLoader(b *backend) (limiting *loader) {
 	var best uint64
 	for _, l := range r.sortedLoaders() {
 		score := core.Score(b.Instance, string(l.name))
-		if (keeper == nil || score > best) && r.engineAt(l) != nil {
-			keeper, best = l, score
+		if (limiting == nil || score > best) && r.engineAt(l) != nil {
+			limiting, best = l, score
 		}
 	}
-	return keeper
+	return limiting
 }
 
 // sendLimit sends the loader that counts what is known of a server's limit, and the
 // requests sent there that the loader did not count.
 func (r *Router) sendLimit(b *backend) {
-	if keeper := r.limitLoader(b); keeper != nil {
-		r.emit(AskLimit{Loader: keeper.name, Ask: r.limitMessage(b)})
+	if limiting := r.limitLoader(b); limiting != nil {
+		r.emit(SendLimitRequest{Loader: limiting.name, Request: r.limitMessage(b)})
 	}
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-func (r *Router) limitMessage(b *backend) core.LimitAsk {
-	return core.LimitAsk{
+func (r *Router) limitMessage(b *backend) core.LimitRequest {
+	return core.LimitRequest{
 		Server: serverLife(b.Incarnation), Limit: b.limit.gate.Message(r.now), Uncounted: b.limit.gate.TakeUncounted(r.now),
 	}
 }
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -83,26 +83,26 @@
 // limitS0 makes the loader report that s0 has named a limit.
 func (w *fixture) limitS0(perSecond float64) {
 	w.t.Helper()
-	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitTold{
-		Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 2, HeardAgo: 1},
+	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitReply{
+		Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: perSecond, SentAgo: 2, ReceivedAgo: 1},
 	}})
 }
 
-// lastAsk returns the last request for a permit.
-func (w *fixture) lastAsk() core.LimitAsk {
+// lastPermitRequest returns the last request for a permit.
+func (w *fixture) lastPermitRequest() core.LimitRequest {
 	w.t.Helper()
-	if len(w.limitAsks) == 0 || w.limitAsks[len(w.limitAsks)-1].Ask.Ask == 0 {
-		w.t.Fatalf("nothing was asked: %+v", w.limitAsks)
+	if len(w.limitRequests) == 0 || w.limitRequests[len(w.limitRequests)-1].Request.RequestID == 0 {
+		w.t.Fatalf("nothing was asked: %+v", w.limitRequests)
 	}
-	return w.limitAsks[len(w.limitAsks)-1].Ask
+	return w.limitRequests[len(w.limitRequests)-1].Request
 }
 
-// answerAsk answers the last request for a permit.
-func (w *fixture) answerAsk(granted bool, room time.Duration) {
+// answerPermitRequest answers the last request for a permit.
+func (w *fixture) answerPermitRequest(granted bool, room time.Duration) {
 	w.t.Helper()
-	ask := w.lastAsk()
-	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitTold{
-		Server: ask.Server, Limit: ask.Limit, Ask: ask.Ask, Spare: ask.Spare, Granted: granted, Room: room,
+	ask := w.lastPermitRequest()
+	w.step(LoaderAnsweredLimit{Loader: "10.9.0.1", Answer: core.LimitReply{
+		Server: ask.Server, Limit: ask.Limit, RequestID: ask.RequestID, Spare: ask.Spare, Granted: granted, Room: room,
 	}})
 }
 
@@ -114,7 +114,7 @@
 	if len(w.sends[key]) > 0 {
 		t.Fatal("sent without a permit")
 	}
-	w.answerAsk(true, 0)
+	w.answerPermitRequest(true, 0)
 	if send := w.lastSend(key); send.Instance != "s0" {
 		t.Errorf("sent to %s", send.Instance)
 	}
@@ -127,14 +127,14 @@
 	w := newLimitedFixture(t, 2, 2)
 	w.router.backends["s1"].failureRate = 0.9 // so that s0 is chosen first
 	key := w.call("once", nil)
-	w.answerAsk(false, time.Second)
+	w.answerPermitRequest(false, time.Second)
 	if send := w.lastSend(key); send.Instance != "s1" {
 		t.Errorf("sent to %s, want s1", send.Instance)
 	}
 
 	w = newLimitedFixture(t, 1, 2)
 	key = w.call("once", nil)
-	w.answerAsk(false, time.Second)
+	w.answerPermitRequest(false, time.Second)
 	for i, key := range []Key{key, w.call("once", nil), w.call("once", nil)} {
 		f := w.finishes[key]
 		// Each request is refused until one permit, half a second, later than the one
@@ -144,12 +144,12 @@
 			t.Errorf("request %d ended with %v, Retry-After %v; want %v", i, f.Code, f.RetryAfter, least)
 		}
 	}
-	if n := len(w.limitAsks); n != 2 { // the report on connecting, and one permit request
+	if n := len(w.limitRequests); n != 2 { // the report on connecting, and one permit request
 		t.Errorf("%d messages to the loader, want 2", n)
 	}
 	w.run(time.Second)
 	w.call("once", nil)
-	if n := len(w.limitAsks); n != 3 {
+	if n := len(w.limitRequests); n != 3 {
 		t.Errorf("%d messages to the loader once there should be room, want 3", n)
 	}
 }
@@ -157,13 +157,13 @@
 // Servers that name no limit need no permit, and every request must be sent at once.
 func TestServersWithoutALimitNeedNoPermit(t *testing.T) {
 	w := newLimitedFixture(t, 3, 0)
-	w.limitAsks = nil
+	w.limitRequests = nil
 	w.router.backends["s0"].ejectedUntil = w.now.Add(time.Hour)
 	for range 20 {
 		w.lastSend(w.call("once", nil))
 	}
-	if len(w.limitAsks) > 0 {
-		t.Errorf("asked %+v", w.limitAsks)
+	if len(w.limitRequests) > 0 {
+		t.Errorf("asked %+v", w.limitRequests)
 	}
 }
 
@@ -180,14 +180,14 @@
 	w.step(FirstEvent{Key: resumed, Attempt: send.Attempt})
 	w.reportHoldings(1, core.Holdings{Instance: "s1", FreeMB: 80_000})
 	waiting := w.call("patient", prompt("m1"))
-	w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{
-		Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
+	w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitReply{
+		Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: 2, SentAgo: 2, ReceivedAgo: 1},
 	}})
 	w.reportHoldings(0, core.Holdings{Instance: "s0", Models: loadedModels("m1"), OnDisk: []string{"m1"}})
 	w.step(AttemptFailed{Key: resumed, Attempt: send.Attempt, Failure: Broken})
 	asked := map[Key]bool{}
-	for _, a := range w.limitAsks {
-		asked[Key(a.Ask.Ask)] = true
+	for _, a := range w.limitRequests {
+		asked[Key(a.Request.RequestID)] = true
 	}
 	for name, key := range map[string]Key{"resumed": resumed, "waiting": waiting} {
 		if !asked[key] {
@@ -203,12 +203,12 @@
 	w.router.backends["s0"].failureRate = 0.9 // so that s1 is chosen first
 	key := w.call("again", nil)
 	send := w.lastSend(key)
-	w.limitAsks = nil
+	w.limitRequests = nil
 	w.step(AttemptFailed{Key: key, Attempt: send.Attempt, Failure: NoAnswer})
 	if len(w.sends[key]) != 1 {
 		t.Fatal("retried without a permit")
 	}
-	w.answerAsk(true, 0)
+	w.answerPermitRequest(true, 0)
 	if send := w.lastSend(key); send.Instance != "s0" || send.Attempt != 2 {
 		t.Errorf("attempt %d at %s", send.Attempt, send.Instance)
 	}
@@ -249,15 +249,15 @@
 		w.servers(engineService, 2)
 		w.reportHoldings(0, core.Holdings{Instance: "s0", Models: loadedModels("m1")})
 		w.reportHoldings(1, core.Holdings{Instance: "s1", FreeMB: 80_000, OnDisk: []string{"m1"}})
-		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{
-			Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: 2, SentAgo: 2, HeardAgo: 1},
+		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitReply{
+			Server: core.ServerLife{Instance: "s0"}, Limit: core.ReportedLimit{Named: true, PerSecond: 2, SentAgo: 2, ReceivedAgo: 1},
 		}})
 		key := w.call("patient", prompt("m1"))
-		ask := w.lastAsk()
+		ask := w.lastPermitRequest()
 		if ask.Spare {
 			t.Error("asked as if another engine could serve it")
 		}
-		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitTold{Server: ask.Server, Limit: ask.Limit, Ask: ask.Ask, Room: test.room}})
+		w.step(LoaderAnsweredLimit{Loader: loaderName(0), Answer: core.LimitReply{Server: ask.Server, Limit: ask.Limit, RequestID: ask.RequestID, Room: test.room}})
 		state := w.router.Dump().Waits
 		if len(state) != 1 || state[0].Home != test.want {
 			t.Fatalf("room in %v: waits %+v, want one at %s; ended: %+v", test.room, state, test.want, w.finishes[key])
@@ -317,8 +317,8 @@
 	}
 	w.step(LoaderUp{Loader: "10.9.0.1"})
 	key := w.call("once", nil)
-	if ask := w.lastAsk(); Key(ask.Ask) != key {
-		t.Errorf("asked for request %d, want %d", ask.Ask, key)
+	if ask := w.lastPermitRequest(); Key(ask.RequestID) != key {
+		t.Errorf("asked for request %d, want %d", ask.RequestID, key)
 	}
 }
 
@@ -330,15 +330,15 @@
 	w.router.backends["s0"].latency, w.router.backends["s1"].latency = 20*time.Millisecond, 10*time.Millisecond
 	asked := 0
 	for range 15 {
-		w.limitAsks = nil
+		w.limitRequests = nil
 		w.step(LoaderReported{Loader: "10.9.0.1", Holdings: core.Holdings{Instance: "engine", Routers: 1, Coordinator: "10.0.0.1"}})
 		key := w.call("once", nil)
 		if len(w.sends[key]) == 0 {
 			asked++
-			if !w.lastAsk().Spare {
+			if !w.lastPermitRequest().Spare {
 				t.Error("asked as if no other server could serve it")
 			}
-			w.answerAsk(true, 0)
+			w.answerPermitRequest(true, 0)
 		}
 		send := w.lastSend(key)
 		w.step(Answered{Key: key, Attempt: send.Attempt, Answer: fleet.Answer{Status: 200}})
--- a/internal/router/spread.go
+++ b/internal/router/spread.go
@@ -228,7 +228,7 @@
 		copies := len(r.copiesOf(s.name, model.Name)) + r.copiesLoading(s, model.Name)
 		for ; copies < needed; copies++ {
 			b := r.bestForCopy(s, model)
-			if b == nil || !r.near(b, model.Name) && r.storeCopyAsked(s, model.Name) {
+			if b == nil || !r.near(b, model.Name) && r.storeCopyRequested(s, model.Name) {
 				break
 			}
 			ready := r.readyIn(b, waitKey{s.name, modelKey{model: model.Name}})
@@ -242,10 +242,10 @@
 	}
 }
 
-// storeCopyAsked reports whether an engine is asked to load a further copy of a model from
+// storeCopyRequested reports whether an engine is asked to load a further copy of a model from
 // the weight store. Only one at a time is: the store is slow, and engines that wait for it
 // can't do other background loads.
-func (r *Router) storeCopyAsked(s *service, model string) bool {
+func (r *Router) storeCopyRequested(s *service, model string) bool {
 	for key, planned := range s.store.planned {
 		if key.model == model && planned.store && planned.spread {
 			return true
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -129,7 +129,7 @@
 func TestStopRefusesWhatWaitsForAPermit(t *testing.T) {
 	w := newLimitedFixture(t, 1, 2)
 	key := w.call("once", nil)
-	w.lastAsk()
+	w.lastPermitRequest()
 	w.step(Stopping{Until: w.now.Add(100 * time.Millisecond)})
 	w.wantRefusedAtStop(key)
 }
