--- a/internal/core/agent/simulation_test.go
+++ b/internal/core/agent/fixture_test.go
@@ -18,12 +18,12 @@
 	incarnation       core.Incarnation
 }
 
-// simulation runs one agent with a fake engine and the slot table of a steward,
+// fixture runs one agent with a fake engine and the slot table of a steward,
 // with random faults: pauses, late and stale Grants, lost answers, late orders,
 // outdated inventories, restarts of the engine and of the agent, version
 // changes. The engine ignores fencing numbers, so that only the checks of the
 // agent protect it.
-type simulation struct {
+type fixture struct {
 	t        *rapid.T
 	part     *Part
 	now      core.Time
@@ -61,8 +61,8 @@
 
 const fakeMemory = 1000
 
-func newSimulation(t *rapid.T) *simulation {
-	w := &simulation{
+func newFixture(t *rapid.T) *fixture {
+	w := &fixture{
 		t: t, held: map[string]core.LoadedItem{}, table: map[string]core.Slot{},
 		snapshot: emptySnapshot(),
 	}
@@ -87,7 +87,7 @@
 // restartAgent replaces the agent. Its pending orders stay pending; the steward
 // moves its slots to the new incarnation. Answers about an attempt are valid
 // for one incarnation only, so the record of attempts is reset.
-func (w *simulation) restartAgent() {
+func (w *fixture) restartAgent() {
 	w.inc++
 	w.deadlines = map[uint64]core.Time{}
 	w.requests, w.ran, w.refused = 0, map[core.AttemptID]bool{}, map[core.AttemptID]bool{}
@@ -108,12 +108,12 @@
 	w.connect()
 }
 
-func (w *simulation) connect() {
+func (w *fixture) connect() {
 	w.step(core.PeerUp{Peer: "e"})
 	w.step(core.Received{From: "e", Message: core.Hello{Host: "e", Steward: true}})
 }
 
-func (w *simulation) step(event core.Event) {
+func (w *fixture) step(event core.Event) {
 	for _, effect := range w.part.Step(w.now, event) {
 		switch e := effect.(type) {
 		case core.TakeInventory:
@@ -134,7 +134,7 @@
 }
 
 // checkOrder checks each load order against the expected rights of the agent.
-func (w *simulation) checkOrder(o core.Order) {
+func (w *fixture) checkOrder(o core.Order) {
 	if o.Kind == core.OrderLoad && w.reportedRole == core.EngineDraining {
 		w.t.Fatalf("load of %s while the engine is reported as draining", o.Key)
 	}
@@ -159,7 +159,7 @@
 	}
 }
 
-func (w *simulation) sent(message core.Message) {
+func (w *fixture) sent(message core.Message) {
 	switch m := message.(type) {
 	case core.Report:
 		w.reports = m.Sequence
@@ -185,7 +185,7 @@
 
 // checkReleased checks that the engine holds nothing of a released slot, and
 // assigns the slot to the agent again at the next generation.
-func (w *simulation) checkReleased(slot core.Slot) {
+func (w *fixture) checkReleased(slot core.Slot) {
 	name := slot.ID.Model
 	if w.released[name] >= slot.Generation {
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-func (w *simulation) items() []core.LoadedItem {
+func (w *fixture) items() []core.LoadedItem {
 	var items []core.LoadedItem
 	for _, key := range core.SortedKeys(w.held) {
 		items = append(items, w.held[key])
@@ -214,7 +214,7 @@
 }
 
 // arrive delivers an order to the engine. A load takes its memory from here on.
-func (w *simulation) arrive(o *fakeOrder) {
+func (w *fixture) arrive(o *fakeOrder) {
 	o.arrived = true
 	if o.Kind == core.OrderRole {
 		w.role = o.Role
@@ -241,7 +241,7 @@
 }
 
 // execute executes an order successfully.
-func (w *simulation) execute(o *fakeOrder) {
+func (w *fixture) execute(o *fakeOrder) {
 	if !o.arrived {
 		w.arrive(o)
 	}
@@ -250,7 +250,7 @@
 
 // finish ends the execution of an order, with or without effect, and answers
 // it.
-func (w *simulation) finish(o *fakeOrder, applied bool, answer code.Code) {
+func (w *fixture) finish(o *fakeOrder, applied bool, answer code.Code) {
 	w.orders = slices.DeleteFunc(w.orders, func(other *fakeOrder) bool { return other == o })
 	if li, ok := w.held[o.Key]; ok && o.arrived && !w.loading(o.Key) {
 		li.Busy = false
@@ -264,13 +264,13 @@
 
 // loading reports whether a load of the key is still in progress; an unload
 // that ends before it has no effect.
-func (w *simulation) loading(key string) bool {
+func (w *fixture) loading(key string) bool {
 	return slices.ContainsFunc(w.orders, func(o *fakeOrder) bool {
 		return o.arrived && o.Key == key && o.Kind == core.OrderLoad
 	})
 }
 
-func (w *simulation) answer(o *fakeOrder, answer code.Code) {
+func (w *fixture) answer(o *fakeOrder, answer code.Code) {
 	if o.answered || o.incarnation != w.inc {
 		return
 	}
@@ -282,7 +282,7 @@
 }
 
 // expire drops the orders that were not sent within their validity.
-func (w *simulation) expire() {
+func (w *fixture) expire() {
 	for _, o := range slices.Clone(w.orders) {
 		if !o.arrived && w.now > o.NotAfter {
 			w.finish(o, false, code.OrderExpired)
@@ -290,7 +290,7 @@
 	}
 }
 
-func (w *simulation) advance(d time.Duration) {
+func (w *fixture) advance(d time.Duration) {
 	until := w.now.Add(d)
 	for ticks := 0; w.part.Next() <= until; ticks++ {
 		if ticks > 10000 {
@@ -305,7 +305,7 @@
 }
 
 // deliver passes a Grant to the agent and records the rights that it gives.
-func (w *simulation) deliver(g core.Grant) {
+func (w *fixture) deliver(g core.Grant) {
 	if sent, ok := w.sentAt[g.Sequence]; ok && g.Sequence >= w.newest {
 		w.newest, w.until = g.Sequence, sent.Add(g.Tenure)
 		clear(w.owned)
--- a/internal/core/agent/layout_test.go
+++ b/internal/core/agent/layout_test.go
@@ -26,7 +26,7 @@
 // checkAdapterLoad fails if an adapter load is ordered where adapters are not
 // allowed, or after the slot was reported as cleared and no newer layout was
 // granted.
-func (w *simulation) checkAdapterLoad(model string) {
+func (w *fixture) checkAdapterLoad(model string) {
 	granted, cleared := w.layout.granted[model], w.layout.cleared[model]
 	if granted.AdapterMax == 0 || cleared.Generation != 0 && !newerLayout(granted, cleared) {
 		w.t.Fatalf("load of an adapter of %s ordered under %+v after %+v was reported as cleared", model, granted, cleared)
@@ -35,7 +35,7 @@
 
 // checkCleared fails if the engine holds an adapter of the model, or one is
 // being loaded.
-func (w *simulation) checkCleared(slot core.Slot) {
+func (w *fixture) checkCleared(slot core.Slot) {
 	keys := core.SortedKeys(w.held)
 	for _, o := range w.orders {
 		if o.Kind == core.OrderLoad && o.incarnation == w.inc {
@@ -54,7 +54,7 @@
 
 // changeLayout acts as the steward: it forbids adapters at any time, and allows
 // them only when the slot is cleared.
-func (w *simulation) changeLayout() {
+func (w *fixture) changeLayout() {
 	slot := w.table["a"]
 	switch {
 	case slot.AdapterMax != 0:
--- a/internal/core/agent/property_test.go
+++ b/internal/core/agent/property_test.go
@@ -12,18 +12,18 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-func (w *simulation) pick(label string, n int) int { return rapid.IntRange(0, n-1).Draw(w.t, label) }
+func (w *fixture) pick(label string, n int) int { return rapid.IntRange(0, n-1).Draw(w.t, label) }
 
-func (w *simulation) pickOrder() *fakeOrder {
+func (w *fixture) pickOrder() *fakeOrder {
 	if len(w.orders) == 0 {
 		w.t.Skip("no order under way")
 	}
 	return w.orders[w.pick("order", len(w.orders))]
 }
 
-func (w *simulation) model() string { return []string{"a", "b", "c"}[w.pick("model", 3)] }
+func (w *fixture) model() string { return []string{"a", "b", "c"}[w.pick("model", 3)] }
 
-func (w *simulation) request() {
+func (w *fixture) request() {
 	w.requests++
 	id := w.requests
 	if old := uint64(1 + w.pick("id", int(4*w.requests))); old < id && w.deadlines[old].Add(pastMargin) > w.now {
@@ -44,7 +44,7 @@
 	w.step(core.Received{From: "e", Message: m})
 }
 
-func (w *simulation) endRun() {
+func (w *fixture) endRun() {
 	if len(w.running) == 0 {
 		w.t.Skip("nothing runs")
 	}
@@ -58,7 +58,7 @@
 	w.step(core.RunProgress{Attempt: a, Kind: core.FrameEnd, Code: result})
 }
 
-func (w *simulation) restartEngine() {
+func (w *fixture) restartEngine() {
 	clear(w.held)
 	w.role = core.EngineServing
 	for _, o := range slices.Clone(w.orders) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (w *simulation) changeVersion() {
+func (w *fixture) changeVersion() {
 	next := *w.snapshot
 	next.Revision++
 	next.Models = map[string]*api.Model{}
@@ -83,7 +83,7 @@
 	w.step(core.ConfigInForce{Snapshot: w.snapshot})
 }
 
-func (w *simulation) takeInventory() {
+func (w *fixture) takeInventory() {
 	if !w.inventoryRequested {
 		w.t.Skip("not asked")
 	}
@@ -96,7 +96,7 @@
 	w.step(core.Inventory{MemoryMiB: fakeMemory, Items: items, Role: w.role})
 }
 
-func (w *simulation) writeGrant() core.Grant {
+func (w *fixture) writeGrant() core.Grant {
 	g := core.Grant{Sequence: w.reports, Incarnation: w.inc, Tenure: time.Minute}
 	for _, name := range core.SortedKeys(w.table) {
 		g.Slots = append(g.Slots, w.table[name])
@@ -104,7 +104,7 @@
 	return g
 }
 
-func (w *simulation) actions() map[string]func(*rapid.T) {
+func (w *fixture) actions() map[string]func(*rapid.T) {
 	do := func(f func()) func(*rapid.T) { return func(*rapid.T) { f() } }
 	return map[string]func(*rapid.T){
 		"tick":    do(func() { w.advance(time.Duration(w.pick("ms", 4000)) * time.Millisecond) }),
@@ -166,6 +166,6 @@
 // ownership, and no request may run twice or after it was refused as not run.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		t.Repeat(newSimulation(t).actions())
+		t.Repeat(newFixture(t).actions())
 	})
 }
--- a/internal/core/config/world_test.go
+++ b/internal/core/config/fixture_test.go
@@ -52,9 +52,9 @@
 	late *core.KVCas
 }
 
-// world is a set of nodes, their connections and one KV service. Events are
+// fixture is a set of nodes, their connections and one KV service. Events are
 // delivered in the order in which they were posted.
-type world struct {
+type fixture struct {
 	now   core.Time
 	nodes map[core.HostID]*node
 	links map[[2]core.HostID]bool
@@ -68,21 +68,21 @@
 	patched int
 }
 
-func newWorld() *world {
-	return &world{
+func newFixture() *fixture {
+	return &fixture{
 		nodes: map[core.HostID]*node{}, links: map[[2]core.HostID]bool{},
 		kv: fakeKV{entries: map[string]kvEntry{}, downAfter: -1}, answers: map[uint64]code.Code{},
 	}
 }
 
-func (w *world) logf(format string, args ...any) { fmt.Fprintf(&w.log, format+"\n", args...) }
+func (w *fixture) logf(format string, args ...any) { fmt.Fprintf(&w.log, format+"\n", args...) }
 
-func (w *world) post(to core.HostID, event core.Event) {
+func (w *fixture) post(to core.HostID, event core.Event) {
 	w.queue = append(w.queue, delivery{to, event})
 }
 
 // start starts a new process on a host, without the state of an earlier one.
-func (w *world) start(host core.HostID, kv bool) {
+func (w *fixture) start(host core.HostID, kv bool) {
 	incarnation := core.Incarnation(len(w.nodes) + 1)
 	w.nodes[host] = &node{part: New(Config{KV: kv, Incarnation: incarnation}), kv: kv}
 	if head, ok := w.kv.entries[core.KeyConfigHead]; ok && kv && !w.kv.down {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (w *world) connect(a, b core.HostID, up bool) {
+func (w *fixture) connect(a, b core.HostID, up bool) {
 	w.links[[2]core.HostID{a, b}], w.links[[2]core.HostID{b, a}] = up, up
 	for _, pair := range [][2]core.HostID{{a, b}, {b, a}} {
 		if up {
@@ -102,7 +102,7 @@
 }
 
 // run delivers all events, including those that they cause.
-func (w *world) run() {
+func (w *fixture) run() {
 	for len(w.queue) > 0 {
 		next := w.queue[0]
 		w.queue = w.queue[1:]
@@ -111,7 +111,7 @@
 }
 
 // advance moves the clock forward and sends each node a tick whenever one is due.
-func (w *world) advance(d time.Duration) {
+func (w *fixture) advance(d time.Duration) {
 	end := w.now.Add(d)
 	for {
 		w.run()
@@ -132,7 +132,7 @@
 	}
 }
 
-func (w *world) step(host core.HostID, event core.Event) {
+func (w *fixture) step(host core.HostID, event core.Event) {
 	if asked, ok := event.(core.ApplyRequested); ok {
 		comparePlans(w.nodes[host].part, asked)
 	}
@@ -165,7 +165,7 @@
 	}
 }
 
-func (w *world) perform(host core.HostID, effect core.Effect) {
+func (w *fixture) perform(host core.HostID, effect core.Effect) {
 	n := w.nodes[host]
 	switch e := effect.(type) {
 	case core.Send:
@@ -182,7 +182,7 @@
 	}
 }
 
-func (w *world) answered(host core.HostID, done core.ApplyDone) {
+func (w *fixture) answered(host core.HostID, done core.ApplyDone) {
 	if _, twice := w.answers[done.ID]; twice {
 		panic("a change was answered twice")
 	}
@@ -199,7 +199,7 @@
 
 // putInForce acts as the shell. It checks that no revision reverts, and that the
 // snapshot equals the one built from scratch from the revision's chunks.
-func (w *world) putInForce(host core.HostID, applied core.ConfigApplied) {
+func (w *fixture) putInForce(host core.HostID, applied core.ConfigApplied) {
 	n := w.nodes[host]
 	inForce, err := n.keeper.Apply(applied)
 	if err != nil {
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func (w *world) send(from core.HostID, s core.Send) {
+func (w *fixture) send(from core.HostID, s core.Send) {
 	if !w.links[[2]core.HostID{from, s.To}] {
 		return
 	}
@@ -297,7 +297,7 @@
 	return core.KVResult{Tag: e.Tag, Key: e.Key, Value: entry.value, Revision: entry.revision}
 }
 
-func (w *world) cas(e core.KVCas) core.KVResult {
+func (w *fixture) cas(e core.KVCas) core.KVResult {
 	kv := &w.kv
 	if kv.downAfter == 0 {
 		kv.down, kv.downAfter = true, -1
@@ -324,7 +324,7 @@
 }
 
 // write stores a value and publishes the head to its watchers.
-func (w *world) write(key string, value []byte) {
+func (w *fixture) write(key string, value []byte) {
 	w.kv.revision++
 	w.kv.entries[key] = kvEntry{value, w.kv.revision}
 	if key == core.KeyConfigHead && !w.kv.lostThenDown {
@@ -333,7 +333,7 @@
 }
 
 // kvUp ends all faults of the KV service.
-func (w *world) kvUp() {
+func (w *fixture) kvUp() {
 	w.kv.down, w.kv.loseHead, w.kv.lostThenDown, w.kv.downAfter = false, false, false, -1
 	for _, host := range core.SortedKeys(w.nodes) {
 		if w.nodes[host].kv {
@@ -344,14 +344,14 @@
 }
 
 // deliverLateWrite delivers a lost write of the head after all.
-func (w *world) deliverLateWrite() {
+func (w *fixture) deliverLateWrite() {
 	if late := w.kv.late; late != nil && w.kv.entries[late.Key].revision == late.Revision {
 		w.write(late.Key, late.Value)
 	}
 	w.kv.late = nil
 }
 
-func (w *world) publishHead() {
+func (w *fixture) publishHead() {
 	head := w.kv.entries[core.KeyConfigHead]
 	for _, host := range core.SortedKeys(w.nodes) {
 		if w.nodes[host].kv {
--- a/internal/core/config/property_test.go
+++ b/internal/core/config/property_test.go
@@ -25,7 +25,7 @@
 func TestApplyResultsMatchConfiguration(t *testing.T) {
 	patched := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newFixture()
 		w.start("e1", true)
 		w.start("e2", true)
 		w.start("a1", false)
@@ -47,7 +47,7 @@
 }
 
 // randomStep performs a random action and returns the number of changes that it posted.
-func (w *world) randomStep(t *rapid.T, changes uint64) uint64 {
+func (w *fixture) randomStep(t *rapid.T, changes uint64) uint64 {
 	host := rapid.SampledFrom([]core.HostID{"e1", "e2"}).Draw(t, "host")
 	switch rapid.IntRange(0, 9).Draw(t, "step") {
 	case 0, 1, 2:
@@ -102,7 +102,7 @@
 // whether the change is in force.
 func modelName(id uint64) string { return fmt.Sprintf("m%d", id) }
 
-func (w *world) checkResults(t *rapid.T, changes uint64) {
+func (w *fixture) checkResults(t *rapid.T, changes uint64) {
 	if uint64(len(w.answers)) != changes {
 		t.Fatalf("%d answers to %d changes", len(w.answers), changes)
 	}
--- a/internal/core/config/scenario_test.go
+++ b/internal/core/config/scenario_test.go
@@ -29,7 +29,7 @@
 //	state                     print what is in force where, and new KV reads
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata/scenarios", func(t *testing.T, path string) {
-		w := newWorld()
+		w := newFixture()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			for line := range strings.Lines(d.Input) {
 				words := strings.Fields(line)
@@ -44,7 +44,7 @@
 	})
 }
 
-func (w *world) command(name string, args []string) error {
+func (w *fixture) command(name string, args []string) error {
 	var host []core.HostID
 	for _, a := range args {
 		host = append(host, core.HostID(a))
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (w *world) fault(args []string) error {
+func (w *fixture) fault(args []string) error {
 	kv := &w.kv
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (w *world) damage(what string) {
+func (w *fixture) damage(what string) {
 	if n := w.nodes[core.HostID(what)]; n != nil {
 		n.corrupts = true
 		return
@@ -119,7 +119,7 @@
 
 // state logs one line for each configuration in force: its revision, and each
 // model's memory, generation and resourceVersion.
-func (w *world) state() {
+func (w *fixture) state() {
 	inForce, reads := map[string]string{}, ""
 	for _, host := range core.SortedKeys(w.nodes) {
 		n := w.nodes[host]
--- a/internal/core/entry/entry_test.go
+++ b/internal/core/entry/entry_test.go
@@ -18,14 +18,14 @@
 
 // TestScenarios runs the scripts in testdata: events separated by ";" ("@<time>" sets the
 // clock and sends a Tick), and for each event a line of its effects, without metrics.
-// "fresh" resets the harness: model m with slots 0, 1, 2 owned by a0, a1, a2 (incarnation
+// "fresh" resets the fixture: model m with slots 0, 1, 2 owned by a0, a1, a2 (incarnation
 // 1), adapter ad on m, service svc on s0 and s1. "run" continues with the present state.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var h *harness
+		var h *fixture
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "fresh" {
-				h = newHarness(t)
+				h = newFixture(t)
 			}
 			h.t = t
 			var out strings.Builder
@@ -37,7 +37,7 @@
 	})
 }
 
-type harness struct {
+type fixture struct {
 	t        *testing.T
 	part     *Part
 	manager  *peers.Manager
@@ -45,9 +45,9 @@
 	revision int64
 }
 
-func newHarness(t *testing.T) *harness {
+func newFixture(t *testing.T) *fixture {
 	manager := peers.New(1)
-	h := &harness{t: t, manager: manager, part: New(Config{
+	h := &fixture{t: t, manager: manager, part: New(Config{
 		Host: "e0", Incarnation: 7, Zone: "z0", Seed: 1, Timings: core.DefaultTimings(),
 		Limits: Limits{StreamWindow: 4, QueueRequests: 8},
 	}, manager)}
@@ -92,18 +92,18 @@
 	return roster
 }
 
-func (h *harness) value(key string, value any) core.KVValue {
+func (h *fixture) value(key string, value any) core.KVValue {
 	h.revision++
 	return core.KVValue{Key: key, Value: must(core.EncodeValue(value)), Revision: h.revision}
 }
 
-func (h *harness) step(event core.Event) []core.Effect {
+func (h *fixture) step(event core.Event) []core.Effect {
 	effects := h.manager.Step(h.now, event)
 	return append(effects, h.part.Step(h.now, event)...)
 }
 
 // line runs one line of a script.
-func (h *harness) line(out *strings.Builder, args []string) {
+func (h *fixture) line(out *strings.Builder, args []string) {
 	if at, ok := strings.CutPrefix(args[0], "@"); ok {
 		h.now = core.Time(h.duration(at))
 		if min(h.part.Next(), h.manager.Next()) > h.now {
@@ -129,10 +129,10 @@
 	return value
 }
 
-func (h *harness) duration(s string) time.Duration { return must(time.ParseDuration(s)) }
-func (h *harness) number(s string) uint64          { return must(strconv.ParseUint(s, 10, 64)) }
+func (h *fixture) duration(s string) time.Duration { return must(time.ParseDuration(s)) }
+func (h *fixture) number(s string) uint64          { return must(strconv.ParseUint(s, 10, 64)) }
 
-func (h *harness) event(args []string) core.Event {
+func (h *fixture) event(args []string) core.Event {
 	switch args[0] {
 	case "tick":
 		return core.Tick{}
@@ -185,7 +185,7 @@
 }
 
 // ask parses "<id> <target> <timeout> [idem] [key=K] [batch] [small]".
-func (h *harness) ask(args []string) core.RequestArrived {
+func (h *fixture) ask(args []string) core.RequestArrived {
 	ev := core.RequestArrived{ID: requestID(args[0]), ClientAccount: "c", Timeout: h.duration(args[2])}
 	switch args[1] {
 	case "svc", "nosvc":
@@ -210,7 +210,7 @@
 	return ev
 }
 
-func (h *harness) message(kind string, args []string) core.Message {
+func (h *fixture) message(kind string, args []string) core.Message {
 	switch kind {
 	case "leaving":
 		return core.Leaving{}
@@ -241,7 +241,7 @@
 }
 
 // data parses "<seq> <token>|<token>".
-func (h *harness) data(attempt core.AttemptID, args []string) core.Frame {
+func (h *fixture) data(attempt core.AttemptID, args []string) core.Frame {
 	frame := core.Frame{Attempt: attempt, Kind: core.FrameData, Seq: h.number(args[0])}
 	for _, token := range strings.Split(args[1], "|") {
 		frame.Count++
@@ -252,7 +252,7 @@
 }
 
 // status parses "<sequence> <index>:<state>:<readyIn>:<running>[:<skipIn>]" for model m.
-func (h *harness) status(args []string) core.Status {
+func (h *fixture) status(args []string) core.Status {
 	m := core.Status{Sequence: h.number(args[0])}
 	for _, arg := range args[1:] {
 		f := strings.Split(arg, ":")
--- a/internal/core/entry/invariant_test.go
+++ b/internal/core/entry/invariant_test.go
@@ -17,7 +17,7 @@
 // run" without that proof.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		c := &checker{rt: rt, harness: newHarness(t), all: map[core.RequestID]*history{}, up: map[core.HostID]core.Incarnation{}}
+		c := &checker{rt: rt, fixture: newFixture(t), all: map[core.RequestID]*history{}, up: map[core.HostID]core.Incarnation{}}
 		for range rapid.IntRange(10, 80).Draw(rt, "steps") {
 			c.random()
 		}
@@ -41,7 +41,7 @@
 }
 
 type checker struct {
-	*harness
+	*fixture
 	rt  *rapid.T
 	all map[core.RequestID]*history
 	up  map[core.HostID]core.Incarnation
--- a/internal/core/entry/result_test.go
+++ b/internal/core/entry/result_test.go
@@ -11,7 +11,7 @@
 // it to operators; the routing part got it from the watch up to 200 ms later. Both must
 // use a written table from the same step on.
 func TestWrittenSlotTableTakesEffectAtOnce(t *testing.T) {
-	h := &harness{t: t, manager: newHarness(t).manager}
+	h := &fixture{t: t, manager: newFixture(t).manager}
 	h.part = New(Config{Host: "e0", Incarnation: 7, Zone: "z0", Seed: 1, Timings: core.DefaultTimings()}, h.manager)
 	h.step(core.ConfigInForce{Snapshot: testSnapshot()})
 	h.step(h.value(core.KeyRosterPrefix+"z0", testRoster("", "")))
@@ -28,7 +28,7 @@
 // The result of a KV call may arrive after the watch has delivered a newer table. It must
 // not restore the older one, whose owners may be gone.
 func TestLateKVResultDoesNotRestoreOldTable(t *testing.T) {
-	h := newHarness(t)
+	h := newFixture(t)
 	old := h.value(core.KeySlotsPrefix+"0", core.SlotTable{})
 	h.step(h.value(core.KeySlotsPrefix+"0", testTable(3)))
 	h.step(core.KVResult{Tag: core.TagSteward + 1, Key: old.Key, Value: old.Value, Revision: old.Revision})
--- a/internal/core/steward/adaptermax_test.go
+++ b/internal/core/steward/adaptermax_test.go
@@ -72,7 +72,7 @@
 
 // checkAdapters checks that adapters of a model are never loaded over two counts,
 // whether or not the agents of their engines run.
-func (w *world) checkAdapters() {
+func (w *fixture) checkAdapters() {
 	counts, at := map[string]uint16{}, map[string]core.HostID{}
 	for _, host := range core.SortedKeys(w.agents) {
 		adapters := w.agents[host].engine.adapters
@@ -88,7 +88,7 @@
 
 // checkLayout checks that in one table all slots of a model that allow adapters
 // have the same count.
-func (w *world) checkLayout(table core.SlotTable) {
+func (w *fixture) checkLayout(table core.SlotTable) {
 	counts := map[string]uint16{}
 	for _, s := range table.Slots {
 		if other := counts[s.ID.Model]; s.AdapterMax != 0 && other != 0 && other != s.AdapterMax {
@@ -104,7 +104,7 @@
 // does. The eviction skipped them, as no base was loaded, and adapters seemed to be loaded
 // over two counts.
 func TestIdleAgentLoadsNoAdapters(t *testing.T) {
-	w := newWorld(testTimings(), 1)
+	w := newFixture(testTimings(), 1)
 	for i := range 4 {
 		w.addAgent(core.HostID(fmt.Sprintf("a%d", i)), core.Zone(fmt.Sprintf("z%d", i%2)))
 	}
--- a/internal/core/steward/bench_test.go
+++ b/internal/core/steward/bench_test.go
@@ -8,10 +8,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// benchWorld returns a world of one steward and many hosts in eight zones, two
+// benchFixture returns a fixture of one steward and many hosts in eight zones, two
 // slots each by models of eight slots, with the default timings.
-func benchWorld(hosts int) *world {
-	w := newWorld(core.DefaultTimings(), 1)
+func benchFixture(hosts int) *fixture {
+	w := newFixture(core.DefaultTimings(), 1)
 	w.quiet = true
 	for i := range hosts {
 		w.addAgent(core.HostID(fmt.Sprintf("h%04d", i)), core.Zone(fmt.Sprintf("z%d", i%8)))
@@ -27,7 +27,7 @@
 }
 
 func BenchmarkReport(b *testing.B) {
-	w := benchWorld(3125)
+	w := benchFixture(3125)
 	part := w.entries[0].part
 	events := make([]core.Event, 0, len(w.agents))
 	reports := make([]core.Report, 0, len(w.agents))
@@ -51,7 +51,7 @@
 
 // BenchmarkPlan measures one pass over all slot tables when nothing changes.
 func BenchmarkPlan(b *testing.B) {
-	w := benchWorld(3125)
+	w := benchFixture(3125)
 	for b.Loop() {
 		w.entries[0].part.plan(w.now)
 	}
@@ -61,7 +61,7 @@
 func BenchmarkKVCalls(b *testing.B) {
 	for _, hosts := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			w := benchWorld(hosts)
+			w := benchFixture(hosts)
 			for b.Loop() {
 				calls, writes, bytes := w.kv.calls, w.kv.writes, w.kv.bytes
 				w.run(10 * time.Minute)
--- a/internal/core/steward/engines_test.go
+++ b/internal/core/steward/engines_test.go
@@ -47,7 +47,7 @@
 }
 
 // evict performs an Evict, unless the engine or its host can't be reached.
-func (w *world) evict(e *entry, order core.Evict) {
+func (w *fixture) evict(e *entry, order core.Evict) {
 	a, result := w.agents[order.Host], code.OK
 	switch {
 	case order.URL != "http://"+string(order.Host):
@@ -67,7 +67,7 @@
 }
 
 // checkLoaded checks that no slot is loaded at two engines, whether or not their agents run.
-func (w *world) checkLoaded() {
+func (w *fixture) checkLoaded() {
 	at := map[core.SlotID]core.HostID{}
 	for _, host := range core.SortedKeys(w.agents) {
 		for id := range w.agents[host].engine.loaded {
@@ -83,7 +83,7 @@
 // fenced, and resumes. Its zone's roster is not written any more; without a Grant
 // that reports the fence, its host would stay without slots permanently.
 func TestFencedAgentAloneInZoneIsNotified(t *testing.T) {
-	w, _, _ := guardWorld(t)
+	w, _, _ := guardFixture(t)
 	a := w.agents["a1"]
 	w.disturb("halt", a, 0)
 	w.run(30 * time.Second)
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/fixture_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// world is a set of entries and agents around one fake KV service.
-type world struct {
+// fixture is a set of entries and agents around one fake KV service.
+type fixture struct {
 	now     core.Time
 	timings core.Timings
 	kv      *fakeKV
@@ -49,8 +49,8 @@
 	inc  core.Incarnation
 }
 
-func newWorld(timings core.Timings, entries int) *world {
-	w := &world{timings: timings, agents: map[core.HostID]*agent{}, nextInc: 100, last: map[core.SlotID]core.Slot{}}
+func newFixture(timings core.Timings, entries int) *fixture {
+	w := &fixture{timings: timings, agents: map[core.HostID]*agent{}, nextInc: 100, last: map[core.SlotID]core.Slot{}}
 	w.kv = &fakeKV{items: map[string]item{}, leases: map[int64]core.Time{}, ttl: map[int64]time.Duration{}, changed: w.changed}
 	for i := range entries {
 		id := core.HostID(fmt.Sprintf("e%d", i+1))
@@ -61,19 +61,19 @@
 	return w
 }
 
-func (w *world) logf(format string, args ...any) {
+func (w *fixture) logf(format string, args ...any) {
 	if !w.quiet {
 		w.log = append(w.log, fmt.Sprintf("%6.2fs ", time.Duration(w.now).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *world) toAll(event core.Event) {
+func (w *fixture) toAll(event core.Event) {
 	for _, e := range w.entries {
 		e.inbox = append(e.inbox, event)
 	}
 }
 
-func (w *world) addAgent(id core.HostID, zone core.Zone) *agent {
+func (w *fixture) addAgent(id core.HostID, zone core.Zone) *agent {
 	host := core.Host{ID: id, Address: "10.0.0.1:1", Zone: zone, Role: core.RoleBackend, State: core.HostLive}
 	a := &agent{host: host, memory: 1000, engine: &fakeEngine{loaded: map[core.SlotID]bool{}, adapters: map[core.SlotID]uint16{}}, drift: time.Duration(len(w.agents)) * w.timings.TenureMargin / 100}
 	w.agents[id] = a
@@ -83,14 +83,14 @@
 	return a
 }
 
-func (w *world) sendList() { w.toAll(core.HostList{Hosts: slices.Clone(w.list)}) }
+func (w *fixture) sendList() { w.toAll(core.HostList{Hosts: slices.Clone(w.list)}) }
 
-func (w *world) unlist(id core.HostID) {
+func (w *fixture) unlist(id core.HostID) {
 	w.list = slices.DeleteFunc(w.list, func(h core.Host) bool { return h.ID == id })
 	w.sendList()
 }
 
-func (w *world) configure(wanted map[string]int) {
+func (w *fixture) configure(wanted map[string]int) {
 	w.wanted = wanted
 	models := map[string]*api.Model{}
 	for name, limit := range wanted {
@@ -100,7 +100,7 @@
 }
 
 // end ends the connections to an agent, which is noticed after a delay.
-func (w *world) end(a *agent, after time.Duration) {
+func (w *fixture) end(a *agent, after time.Duration) {
 	for _, e := range w.entries {
 		if inc, ok := e.conns[a.host.ID]; ok {
 			w.silent = append(w.silent, silentEnd{w.now.Add(after), e, a.host.ID, inc})
@@ -109,7 +109,7 @@
 	a.subscribers = map[*entry]bool{}
 }
 
-func (w *world) noticeEnds() {
+func (w *fixture) noticeEnds() {
 	w.silent = slices.DeleteFunc(w.silent, func(s silentEnd) bool {
 		if w.now < s.at {
 			return false
@@ -123,7 +123,7 @@
 }
 
 // changed publishes a change to the KV service's watches.
-func (w *world) changed(key string, it item) {
+func (w *fixture) changed(key string, it item) {
 	for _, e := range w.entries {
 		e.watch = append(e.watch, core.KVValue{Key: key, Value: it.value, Revision: it.revision})
 	}
@@ -133,7 +133,7 @@
 }
 
 // checkTable checks that generations increase with each change of owner, and only then.
-func (w *world) checkTable(value []byte) {
+func (w *fixture) checkTable(value []byte) {
 	var table core.SlotTable
 	if err := core.DecodeValue(value, &table); err != nil {
 		w.violation = err.Error()
@@ -151,7 +151,7 @@
 	w.logf("slots %s", formatSlots(table.Slots))
 }
 
-func (w *world) run(d time.Duration) {
+func (w *fixture) run(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(tick)
 		w.kv.expire(w.now)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (w *world) tickAgent(a *agent) {
+func (w *fixture) tickAgent(a *agent) {
 	if !a.alive || a.paused {
 		return
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-func (w *world) drain(e *entry) {
+func (w *fixture) drain(e *entry) {
 	if e.paused {
 		return
 	}
@@ -225,7 +225,7 @@
 	}
 }
 
-func (w *world) perform(e *entry, effect core.Effect) {
+func (w *fixture) perform(e *entry, effect core.Effect) {
 	switch ef := effect.(type) {
 	case core.Dial:
 		if a := w.agents[ef.Peer]; a.alive && !a.cut && !a.paused {
@@ -256,7 +256,7 @@
 	}
 }
 
-func (w *world) deliver(e *entry, send core.Send) {
+func (w *fixture) deliver(e *entry, send core.Send) {
 	a := w.agents[send.To]
 	if !a.alive || a.cut || e.conns[send.To] != a.incarnation {
 		return
@@ -301,7 +301,7 @@
 }
 
 // checkHolders checks that no two agents both assume that they may hold a slot.
-func (w *world) checkHolders() {
+func (w *fixture) checkHolders() {
 	holders := map[core.SlotID]core.HostID{}
 	for _, id := range core.SortedKeys(w.agents) {
 		a := w.agents[id]
--- a/internal/core/steward/guards_test.go
+++ b/internal/core/steward/guards_test.go
@@ -7,10 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// guardWorld returns a world with a steward and one agent that owns m/0. change
+// guardFixture returns a fixture with a steward and one agent that owns m/0. change
 // rewrites a KV value as another steward would.
-func guardWorld(t *testing.T) (w *world, e *entry, change func(key string, value any)) {
-	w = newWorld(testTimings(), 1)
+func guardFixture(t *testing.T) (w *fixture, e *entry, change func(key string, value any)) {
+	w = newFixture(testTimings(), 1)
 	w.addAgent("a1", "z")
 	w.sendList()
 	w.configure(map[string]int{"m": 1})
@@ -26,7 +26,7 @@
 	return w, w.entries[0], change
 }
 
-func (w *world) rosterEntry(t *testing.T) core.RosterEntry {
+func (w *fixture) rosterEntry(t *testing.T) core.RosterEntry {
 	var r core.Roster
 	if err := core.DecodeValue(w.kv.items[core.KeyRosterPrefix+"z"].value, &r); err != nil || len(r.Entries) != 1 {
 		t.Fatalf("roster: %v, %v", r, err)
@@ -38,7 +38,7 @@
 // went silent, and another steward recorded the new process. The old report must
 // not restore the dead process, or the live one would lose its slots.
 func TestDeadIncarnationIsNotRestored(t *testing.T) {
-	w, e, change := guardWorld(t)
+	w, e, change := guardFixture(t)
 	a := w.agents["a1"]
 	a.cut = true // the process is gone; its last report is not handled yet
 	entry := w.rosterEntry(t)
@@ -60,7 +60,7 @@
 // that process. Compared with the old roster the slot seems to belong to a dead
 // process and would be taken from the live one.
 func TestOldRosterDoesNotTakeOver(t *testing.T) {
-	w, e, change := guardWorld(t)
+	w, e, change := guardFixture(t)
 	w.agents["a1"].cut = true
 	entry := w.rosterEntry(t)
 	entry.Incarnation, entry.Sequence = 999, 1
@@ -82,7 +82,7 @@
 // Writing the old Sequence would make a live agent look unrenewed, or an old
 // renewal look new.
 func TestSequenceNeverFalls(t *testing.T) {
-	w, _, change := guardWorld(t)
+	w, _, change := guardFixture(t)
 	entry := w.rosterEntry(t)
 	entry.Sequence += 100
 	change(core.KeyRosterPrefix+"z", core.Roster{Zone: "z", Entries: []core.RosterEntry{entry}})
@@ -95,7 +95,7 @@
 // A fenced agent reports again: its slots may be assigned elsewhere, so its
 // entry must stay fenced until another process replaces it.
 func TestFenceIsPermanent(t *testing.T) {
-	w, _, change := guardWorld(t)
+	w, _, change := guardFixture(t)
 	entry := w.rosterEntry(t)
 	entry.Fenced = true
 	change(core.KeyRosterPrefix+"z", core.Roster{Zone: "z", Entries: []core.RosterEntry{entry}})
@@ -108,7 +108,7 @@
 // The answer to a write of a slot table is lost. The table is read back: the view
 // must be what the service holds, not what was sent.
 func TestUnknownWriteIsReadBack(t *testing.T) {
-	w, e, _ := guardWorld(t)
+	w, e, _ := guardFixture(t)
 	w.kv.lose = 1
 	e.lagging = true
 	w.configure(map[string]int{"m": 0})
@@ -124,7 +124,7 @@
 // adapters since, so they must not be allowed over the new count; a report that
 // lists the slot in its current state allows them.
 func TestOutdatedClearedReportIsIgnored(t *testing.T) {
-	w, e, change := guardWorld(t)
+	w, e, change := guardFixture(t)
 	a := w.agents["a1"]
 	slot := core.Slot{
 		ID: core.SlotID{Model: "m"}, Owner: "a1", Incarnation: a.incarnation,
--- a/internal/core/steward/property_test.go
+++ b/internal/core/steward/property_test.go
@@ -16,7 +16,7 @@
 // paused or dead. After the faults end, every slot has a live owner that may load it.
 func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(testTimings(), 3)
+		w := newFixture(testTimings(), 3)
 		w.quiet = true
 		for i := range 4 {
 			w.addAgent(core.HostID(fmt.Sprintf("a%d", i)), core.Zone(fmt.Sprintf("z%d", i%2)))
@@ -36,7 +36,7 @@
 	})
 }
 
-func (w *world) randomFault(t *rapid.T) {
+func (w *fixture) randomFault(t *rapid.T) {
 	e := w.entries[rapid.IntRange(0, len(w.entries)-1).Draw(t, "entry")]
 	id := core.HostID(fmt.Sprintf("a%d", rapid.IntRange(0, len(w.agents)-1).Draw(t, "agent")))
 	notice := time.Duration(rapid.IntRange(0, 2).Draw(t, "notice")) * time.Second
@@ -63,7 +63,7 @@
 }
 
 // bringBack starts a process on a host that has none, and lists the host again.
-func (w *world) bringBack(a *agent) {
+func (w *fixture) bringBack(a *agent) {
 	if a.alive {
 		return
 	}
@@ -78,7 +78,7 @@
 	w.sendList()
 }
 
-func (w *world) endFaults() {
+func (w *fixture) endFaults() {
 	for _, e := range w.entries {
 		e.paused, e.frozen, e.stalled, e.lagging = false, false, false, false
 	}
@@ -96,7 +96,7 @@
 }
 
 // dump returns the state of the stewards and agents, for a failed check.
-func (w *world) dump() string {
+func (w *fixture) dump() string {
 	text := ""
 	for _, e := range w.entries {
 		text += fmt.Sprintf("\n%s %+v", e.id, e.part.Dump())
@@ -108,7 +108,7 @@
 	return text
 }
 
-func (w *world) checkHealed(t *rapid.T) {
+func (w *fixture) checkHealed(t *rapid.T) {
 	if w.violation != "" {
 		t.Fatal(w.violation)
 	}
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -20,7 +20,7 @@
 	const hosts, models = 120, 120
 	const waves = (models + maxMovesInFlight - 1) / maxMovesInFlight
 	const bound = waves * (2 + int(releaseTime/minWriteInterval))
-	w := newWorld(testTimings(), 1)
+	w := newFixture(testTimings(), 1)
 	w.quiet = true
 	w.configureMany("m", models)
 	for i := range hosts {
@@ -53,7 +53,7 @@
 
 // runUntilStable runs until no table has changed for a while. It returns the number
 // of plans from the first change to the last, and the most moves in flight.
-func (w *world) runUntilStable() (plans, most int) {
+func (w *fixture) runUntilStable() (plans, most int) {
 	const still = 15 * time.Second
 	part := w.entries[0].part
 	changedAt, writes, planned := w.now, w.tableWrites(), part.plannedAt
@@ -74,7 +74,7 @@
 	return plans - first + 1, most
 }
 
-func (w *world) releasing() int {
+func (w *fixture) releasing() int {
 	count := 0
 	for _, s := range w.last {
 		if s.State == core.SlotReleasing {
@@ -84,7 +84,7 @@
 	return count
 }
 
-func (w *world) largest() int {
+func (w *fixture) largest() int {
 	counts, most := map[core.HostID]int{}, 0
 	for _, s := range w.last {
 		counts[s.Owner]++
@@ -95,7 +95,7 @@
 
 // tableWrites returns the sum of the revisions of the slot tables, which increases
 // with each write of one.
-func (w *world) tableWrites() int64 {
+func (w *fixture) tableWrites() int64 {
 	var sum int64
 	for _, c := range w.entries[0].part.chunks {
 		sum += c.revision
--- a/internal/core/steward/scenario_test.go
+++ b/internal/core/steward/scenario_test.go
@@ -12,11 +12,11 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// TestScenarios runs the scripts of testdata. A command changes the world or
+// TestScenarios runs the scripts of testdata. A command changes the fixture or
 // advances the time; its output is what changed in slots, grants and stewards.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
-		var w *world
+		var w *fixture
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd == "world" {
 				w = scriptWorld(t, d)
@@ -35,12 +35,12 @@
 	})
 }
 
-func scriptWorld(t *testing.T, d *datadriven.TestData) *world {
+func scriptWorld(t *testing.T, d *datadriven.TestData) *fixture {
 	var entries, max int
 	var model string
 	d.ScanArgs(t, "entries", &entries)
 	d.ScanArgs(t, "model", &model, &max)
-	w := newWorld(testTimings(), entries)
+	w := newFixture(testTimings(), entries)
 	for _, line := range strings.Fields(d.Input) {
 		id, zone, _ := strings.Cut(line, "/")
 		w.addAgent(core.HostID(id), core.Zone(zone))
@@ -50,7 +50,7 @@
 	return w
 }
 
-func (w *world) command(t *testing.T, words []string) {
+func (w *fixture) command(t *testing.T, words []string) {
 	what, arg := words[0], words[1]
 	switch what {
 	case "run":
@@ -89,7 +89,7 @@
 }
 
 // configureMany declares models of one replica each.
-func (w *world) configureMany(prefix string, count int) {
+func (w *fixture) configureMany(prefix string, count int) {
 	wanted := map[string]int{}
 	for i := range count {
 		wanted[fmt.Sprint(prefix, i)] = 1
@@ -110,7 +110,7 @@
 	}
 }
 
-func (w *world) setKV(up bool) {
+func (w *fixture) setKV(up bool) {
 	if w.kv.down == up {
 		w.kv.down = !up
 		w.toAll(core.KVReachable{Up: up})
@@ -119,7 +119,7 @@
 
 // disturb applies a fault or a change to an agent; its peers notice the end of a
 // connection after a delay.
-func (w *world) disturb(what string, a *agent, notice time.Duration) {
+func (w *fixture) disturb(what string, a *agent, notice time.Duration) {
 	switch what {
 	case "kill":
 		a.alive = false
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -17,10 +17,10 @@
 }
 
 // countGranted requests a permit each 10 ms for a duration and counts those granted.
-func countGranted(l *Limiter, from core.Time, lasts time.Duration, ask core.LimitRequest) int {
+func countGranted(l *Limiter, from core.Time, lasts time.Duration, request core.LimitRequest) int {
 	n := 0
 	for t := time.Duration(0); t < lasts; t += 10 * time.Millisecond {
-		if answer, _ := l.Handle(from.Add(t), ask); answer.Granted {
+		if answer, _ := l.Handle(from.Add(t), request); answer.Granted {
 			n++
 		}
 	}
--- a/internal/loader/announce_test.go
+++ b/internal/loader/announce_test.go
@@ -12,7 +12,7 @@
 // the loader announced each swap to all routers, all answered, and a thousand messages a
 // second were exchanged: routers on small hosts had no time left for callers.
 func TestSwappedQueuePositionsAreNotAnnounced(t *testing.T) {
-	w := newHarness(t, "m0", "m2", "m4")
+	w := newFixture(t, "m0", "m2", "m4")
 	w.step(RouterUp{Router: "10.0.0.2"})
 	w.engine.report.Busy = true // another order is in progress: none is sent now
 	w.step(Tick{})
@@ -35,7 +35,7 @@
 }
 
 // countAnnounced handles an event and counts the holdings sent to routers.
-func (w *harness) countAnnounced(event Event) int {
+func (w *fixture) countAnnounced(event Event) int {
 	count := 0
 	for _, effect := range w.loader.Step(w.now, event) {
 		if send, ok := effect.(SendHoldings); ok {
@@ -49,7 +49,7 @@
 // nearly all of the traffic of a large fleet. Routers need only the sign of life and the
 // counts; a significant change of rates must be sent with the holdings.
 func TestSteadyHeartbeatIsSmall(t *testing.T) {
-	w := newHarness(t, "m0", "m2")
+	w := newFixture(t, "m0", "m2")
 	w.demand("10.0.0.1", core.Demand{Uses: []core.Use{{Model: "m0", Rate: 5, FastRate: 5}}})
 	w.run(2 * HeartbeatInterval)
 	whole, beats := 0, 0
--- a/internal/loader/config_test.go
+++ b/internal/loader/config_test.go
@@ -12,7 +12,7 @@
 )
 
 // lastForwarded returns the last message that was forwarded to a router.
-func (w *harness) lastForwarded(router core.HostID) core.Message {
+func (w *fixture) lastForwarded(router core.HostID) core.Message {
 	if all := w.forwarded[router]; len(all) > 0 {
 		return all[len(all)-1]
 	}
@@ -23,7 +23,7 @@
 // loader, which asks the router that reported the version and forwards its answer. The
 // next router that asks is answered from the loader's cache.
 func TestConfigurationIsForwarded(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.step(RouterUp{Router: blockedName})
 	w.step(RegistryNewsReceived{Router: readerName, News: core.RegistryNews{From: 1, To: 2, Config: 7}})
 	w.step(ConfigRequested{Router: blockedName, Above: 6})
@@ -48,7 +48,7 @@
 // A router that was frozen sends an old configuration. It must not replace the newer one
 // in the loader's cache, nor reach a router whose version is as new or newer.
 func TestOldConfigurationIsNotForwarded(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.step(RouterUp{Router: blockedName})
 	w.step(ConfigReceived{Router: readerName, Config: core.ConfigPassed{Version: 7}})
 	w.step(ConfigRequested{Router: blockedName, Above: 7})
@@ -68,7 +68,7 @@
 // routers answer with the whole configuration, and must reach the router that has it
 // within a few attempts.
 func TestFewRoutersAreAskedAtOnce(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	for i := range 20 {
 		w.step(RouterUp{Router: routerName(i)})
 	}
--- a/internal/loader/coordinator_test.go
+++ b/internal/loader/coordinator_test.go
@@ -12,7 +12,7 @@
 // weight store that another had already assigned. Until the others have had time to
 // connect, the loader must select none.
 func TestNewLoaderSelectsNoCoordinatorAtFirst(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	selected := map[core.HostID]bool{}
 	for _, router := range []core.HostID{"10.0.0.9", "10.0.0.5", "10.0.0.1"} {
 		w.step(RouterDown{Router: router})
@@ -34,7 +34,7 @@
 // The coordinator restarts and does not know the demand. The next router must be the
 // coordinator until the first one has been connected for long enough.
 func TestRestartedRouterIsNotCoordinatorAtOnce(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.step(RouterUp{Router: "10.0.0.2"})
 	w.run(coordinatorMinAge)
 	w.step(RouterDown{Router: "10.0.0.1"})
--- a/internal/loader/decide_test.go
+++ b/internal/loader/decide_test.go
@@ -12,7 +12,7 @@
 // small models first, because their rates are a little lower, and then the large one too,
 // so that three models have to be loaded again.
 func TestOneLargeVictimInsteadOfThree(t *testing.T) {
-	w := newHarness(t, "m0", "m2", "m1") // 16,000 + 16,000 + 34,000 of 80,000
+	w := newFixture(t, "m0", "m2", "m1") // 16,000 + 16,000 + 34,000 of 80,000
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{{Model: "m3", Waiting: 1, Within: 2 * time.Second}},
 		Uses: []core.Use{
@@ -32,7 +32,7 @@
 // unloads the model and accepts no other order meanwhile, so evicting it would delay the
 // load that a request waits for. An idle model must be evicted instead.
 func TestIdleVictimBeforeBusyOne(t *testing.T) {
-	w := newHarness(t, "m1", "m3")
+	w := newFixture(t, "m1", "m3")
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{{Model: "m5", Waiting: 1, Within: 2 * time.Second}},
 		Uses:  []core.Use{{Model: "m1", Rate: 0.05, Running: 3, Copies: 1}, {Model: "m3", Rate: 0.4, Copies: 1}},
@@ -46,7 +46,7 @@
 // While an engine loads a model it also refuses orders for adapters. Guards against
 // sending these again every 30 ms for as long as the load takes, hundreds in vain.
 func TestNoAdapterOrdersWhileBusy(t *testing.T) {
-	w := newHarness(t, "m0")
+	w := newFixture(t, "m0")
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m1", Waiting: 1, Within: time.Second}}})
 	w.run(100 * time.Millisecond)
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{
@@ -66,7 +66,7 @@
 // after others. If the order were still valid then, the engine would load more than its
 // memory holds and crash with all its requests.
 func TestLateOrderDoesNotOvercommit(t *testing.T) {
-	w := newHarness(t, "m1")
+	w := newFixture(t, "m1")
 	w.loseNext = 1
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m3", Waiting: 1, Within: time.Second}}})
 	w.run(100 * time.Millisecond)
@@ -83,7 +83,7 @@
 // Adapters are called one after the other, more than the engine has slots for. Each must
 // be loaded in turn, in place of an unused one.
 func TestAdaptersTakeTurns(t *testing.T) {
-	w := newHarness(t, "m0")
+	w := newFixture(t, "m0")
 	for _, adapter := range []string{"a1", "a2", "a3", "a4", "a5"} {
 		w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m0", Adapter: adapter, Waiting: 1, Within: time.Second}}})
 		w.run(200 * time.Millisecond)
@@ -99,7 +99,7 @@
 // A model without a near copy must not be loaded without a permit, so that not all
 // engines read the weight store at once.
 func TestStoreLoadWaitsForPermit(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.engine.report.OnDisk = nil
 	w.run(idleReadInterval) // until the loader has read the report
 	want := []core.Want{{Model: "m1", Waiting: 1, Within: time.Second}}
@@ -123,7 +123,7 @@
 // loader must detect that and load again what is wanted, instead of waiting for the old
 // order.
 func TestEngineRestartIsDetected(t *testing.T) {
-	w := newHarness(t, "m1")
+	w := newFixture(t, "m1")
 	want := core.Demand{Wants: []core.Want{{Model: "m3", Waiting: 1, Within: time.Second}}}
 	w.engine.report.Sequence = 5
 	w.demand("10.0.0.1", want)
@@ -141,7 +141,7 @@
 // on their way: they were refused and waited again. A loaded model must stay until these
 // requests can have been served.
 func TestLoadedModelIsKeptForMinResidence(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	want := func(models ...string) {
 		var wants []core.Want
 		for _, model := range models {
@@ -170,7 +170,7 @@
 // requests, for seconds, and further requests for m1 overloaded other engines. The loader
 // must wait until m3 can be evicted.
 func TestRecentlyLoadedIdleModelIsEvictedBeforeBusyOne(t *testing.T) {
-	w := newHarness(t, "m1")
+	w := newFixture(t, "m1")
 	w.demand("10.0.0.1", core.Demand{
 		Wants: []core.Want{{Model: "m3", Waiting: 1, Within: time.Second}},
 		Uses:  []core.Use{{Model: "m1", Rate: 20, Running: 9, Copies: 2}},
@@ -190,7 +190,7 @@
 // refused dozens of requests that had not started. Routers must be notified first, and
 // the order must wait until their requests have ended.
 func TestSpareCopyIsRetiredFirst(t *testing.T) {
-	w := newHarness(t, "m1", "m3")
+	w := newFixture(t, "m1", "m3")
 	demand := func(running int) {
 		w.demand("10.0.0.1", core.Demand{
 			Wants: []core.Want{{Model: "m5", Waiting: 1, Within: time.Second}},
@@ -220,7 +220,7 @@
 // second, has one copy elsewhere. The further copy that routers ask for must not be
 // delayed forever.
 func TestFurtherCopyIsNotStarved(t *testing.T) {
-	w := newHarness(t, "m1", "m3")
+	w := newFixture(t, "m1", "m3")
 	rare := []string{"m2", "m4", "m6", "m0"}
 	for i := range 8 {
 		w.demand("10.0.0.1", core.Demand{Wants: []core.Want{
@@ -239,7 +239,7 @@
 // permitted load from the weight store behind them: the store's capacity that was
 // reserved for it was left unused, for all engines.
 func TestPermittedStoreLoadGoesFirst(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.engine.report.OnDisk = []string{"m0", "m2"}
 	w.run(idleReadInterval)
 	w.demand("10.0.0.1", core.Demand{
@@ -260,7 +260,7 @@
 // overdue, so that callers retried again and again and were refused. The longer it is
 // overdue, the longer it must be predicted to take.
 func TestOverdueLoadPredictsMoreTime(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m7", Waiting: 1, Within: time.Second}}})
 	w.engine.until = core.Never // it does not end during the test
 	w.run(5 * time.Second)
--- a/internal/loader/digest_test.go
+++ b/internal/loader/digest_test.go
@@ -7,10 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// largeFleet returns a harness with this many connected routers, which have all received
+// largeFleet returns a fixture with this many connected routers, which have all received
 // the holdings.
-func largeFleet(t *testing.T, routers int) *harness {
-	w := newHarness(t, "m0")
+func largeFleet(t *testing.T, routers int) *fixture {
+	w := newFixture(t, "m0")
 	for i := range routers {
 		w.step(RouterUp{Router: largeRouter(i)})
 		w.demand(largeRouter(i), core.Demand{})
@@ -20,7 +20,7 @@
 }
 
 // countMessages counts the messages to each router within a duration.
-func (w *harness) countMessages(d time.Duration) map[core.HostID]int {
+func (w *fixture) countMessages(d time.Duration) map[core.HostID]int {
 	w.t.Helper()
 	w.messages = map[core.HostID]int{}
 	w.run(d)
@@ -91,7 +91,7 @@
 
 // checkForwardedOnce checks that each router but the sender was forwarded exactly one
 // message.
-func (w *harness) checkForwardedOnce(from core.HostID) {
+func (w *fixture) checkForwardedOnce(from core.HostID) {
 	w.t.Helper()
 	for _, name := range w.loader.names {
 		want := 1
@@ -120,7 +120,7 @@
 // Guards against a coordinator on a small host, which can't process the messages of a
 // large fleet.
 func TestRouterWithMostProcessorIsCoordinator(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.demand("10.0.0.1", core.Demand{Processor: 0.1})
 	for name, processor := range map[core.HostID]float64{"10.0.0.7": 0.8, "10.0.0.8": 0.8, "10.0.0.2": 0.1} {
 		w.step(RouterUp{Router: name})
--- a/internal/loader/ended_test.go
+++ b/internal/loader/ended_test.go
@@ -11,7 +11,7 @@
 )
 
 // refuseConnections makes the engine's port refuse connections from now on.
-func (w *harness) refuseConnections() {
+func (w *fixture) refuseConnections() {
 	w.t.Helper()
 	w.engine.refusing = true
 	w.run(time.Second)
@@ -21,7 +21,7 @@
 // at once, even those without requests there, because the end determines which requests
 // ran when engines ended. The notification must be withdrawn when the next life is known.
 func TestEngineEndIsAnnounced(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.demand("10.0.0.1", core.Demand{})
 	w.run(time.Second)
 	if w.holdings["10.0.0.1"].Ended {
@@ -42,15 +42,15 @@
 // A loader starts before its engine listens, and an engine that reported that it drains
 // ends as planned. Neither counts as an unexpected end.
 func TestPlannedEndIsNotAnnouncedAsEnded(t *testing.T) {
-	for name, prepare := range map[string]func(w *harness){
-		"never answered": func(w *harness) { w.loader.engine.answered = false },
-		"leaves": func(w *harness) {
+	for name, prepare := range map[string]func(w *fixture){
+		"never answered": func(w *fixture) { w.loader.engine.answered = false },
+		"leaves": func(w *fixture) {
 			w.engine.report.Draining = true
 			w.run(time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newHarness(t)
+			w := newFixture(t)
 			w.demand("10.0.0.1", core.Demand{})
 			w.run(time.Second)
 			prepare(w)
@@ -66,7 +66,7 @@
 // The loader must send it the ends that it has forwarded, once, without requests that
 // were cleared.
 func TestNewRouterReceivesPoisonEnds(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.step(RouterUp{Router: "10.0.0.2"})
 	end := core.ServerEnd{Life: core.ServerLife{Instance: "i-9"}, Address: "10.1.0.9:1", Requests: []core.LostRequest{{Fingerprint: 1}, {Fingerprint: 2}}}
 	w.step(PoisonNewsReceived{Router: "10.0.0.1", News: core.PoisonNews{Ends: []core.ServerEnd{end}}})
--- a/internal/loader/evict_test.go
+++ b/internal/loader/evict_test.go
@@ -13,7 +13,7 @@
 // late. The copies must stay, and the rare model must be announced with a long delay, so
 // that its request goes elsewhere or is refused at once.
 func TestBusyCopiesAreKeptForOneRareRequest(t *testing.T) {
-	w := newHarness(t, "m1", "m3")
+	w := newFixture(t, "m1", "m3")
 	demand := func(waiting int) {
 		w.demand("10.0.0.1", core.Demand{
 			Wants: []core.Want{{Model: "m5", Waiting: waiting, Within: time.Second}},
--- a/internal/loader/harness_test.go
+++ b/internal/loader/fixture_test.go
@@ -9,9 +9,9 @@
 	"nutmeglane.example/nutmeglane/internal/fleet"
 )
 
-// harness drives a loader in virtual time against an engine that executes its orders and
+// fixture drives a loader in virtual time against an engine that executes its orders and
 // refuses those that its state does not allow.
-type harness struct {
+type fixture struct {
 	t        testing.TB
 	loader   *Loader
 	now      core.Time
@@ -68,8 +68,8 @@
 	return spec
 }
 
-func newHarness(t testing.TB, loaded ...string) *harness {
-	w := &harness{
+func newFixture(t testing.TB, loaded ...string) *fixture {
+	w := &fixture{
 		t: t, now: core.Time(time.Hour), loader: New(Options{Host: "10.1.0.1"}), holdings: map[core.HostID]core.Holdings{}, messages: map[core.HostID]int{}, forwarded: map[core.HostID][]core.Message{}, limits: map[core.HostID][]core.LimitReply{},
 		engine: &fakeEngine{spec: testSpec(), instance: "i-1"},
 	}
@@ -85,14 +85,14 @@
 }
 
 // demand sends a router's demand, with the engine's configuration.
-func (w *harness) demand(router core.HostID, d core.Demand) {
+func (w *fixture) demand(router core.HostID, d core.Demand) {
 	w.t.Helper()
 	spec := testSpec()
 	d.Engine, d.Instance = &spec, "i-1"
 	w.step(DemandReceived{Router: router, Demand: d})
 }
 
-func (w *harness) step(event Event) {
+func (w *fixture) step(event Event) {
 	w.t.Helper()
 	effects := append([]Effect(nil), w.loader.Step(w.now, event)...)
 	for _, effect := range effects {
@@ -144,7 +144,7 @@
 }
 
 // run advances the time, with a Tick at each time that the loader requests.
-func (w *harness) run(d time.Duration) {
+func (w *fixture) run(d time.Duration) {
 	w.t.Helper()
 	for end := w.now.Add(d); w.now < end; {
 		w.now = min(end, max(w.wake, w.now.Add(time.Millisecond)))
@@ -250,7 +250,7 @@
 	return used
 }
 
-func (w *harness) has(model string) bool {
+func (w *fixture) has(model string) bool {
 	for _, m := range w.engine.report.Models {
 		if m.Name == model {
 			return true
--- a/internal/loader/large_bench_test.go
+++ b/internal/loader/large_bench_test.go
@@ -27,7 +27,7 @@
 }
 
 func benchSecond(b *testing.B, routers int) {
-	w := newHarness(b, "m0", "m1")
+	w := newFixture(b, "m0", "m1")
 	for i := range routers {
 		w.step(RouterUp{Router: largeRouter(i)})
 		w.demand(largeRouter(i), core.Demand{})
--- a/internal/loader/limits_test.go
+++ b/internal/loader/limits_test.go
@@ -10,7 +10,7 @@
 // must one that connects later: they would exceed the limit. The answer to a request for
 // a permit must go only to the router that asked.
 func TestLimitIsSentToAllRouters(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	for _, name := range []core.HostID{"r1", "r2"} {
 		w.step(RouterUp{Router: name})
 	}
--- a/internal/loader/merge_test.go
+++ b/internal/loader/merge_test.go
@@ -15,7 +15,7 @@
 // be evicted.
 func TestUseSumsMatchRouterReports(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	w := newHarness(t, "m0", "m1")
+	w := newFixture(t, "m0", "m1")
 	for range 3000 {
 		w.now = w.now.Add(time.Duration(random.IntN(400)) * time.Millisecond)
 		name := largeRouter(random.IntN(6))
--- a/internal/loader/restart_test.go
+++ b/internal/loader/restart_test.go
@@ -16,8 +16,8 @@
 	e.done = nil
 }
 
-func newHarnessWithBorn(t *testing.T, loaded ...string) *harness {
-	w := newHarness(t, loaded...)
+func newFixtureWithBorn(t *testing.T, loaded ...string) *fixture {
+	w := newFixture(t, loaded...)
 	w.engine.report.Born = firstBorn
 	w.run(idleReadInterval)
 	return w
@@ -27,7 +27,7 @@
 // for the end of an order that nobody executes. The load must be ordered again from the
 // first report of the new life.
 func TestOrderLostInRestartIsSentAgain(t *testing.T) {
-	w := newHarnessWithBorn(t, "m1")
+	w := newFixtureWithBorn(t, "m1")
 	w.demand("10.0.0.1", core.Demand{Born: firstBorn, Wants: []core.Want{{Model: "m0", Waiting: 1, Within: time.Second}}})
 	w.run(200 * time.Millisecond)
 	if len(w.orders) != 1 {
@@ -48,7 +48,7 @@
 // The answer to an order arrives from the earlier life after the first report of the new
 // one. Taken for a task of the new life, it would block all further orders.
 func TestAnswerFromEarlierLifeStartsNoTask(t *testing.T) {
-	w := newHarnessWithBorn(t)
+	w := newFixtureWithBorn(t)
 	order := fleet.Order{Kind: fleet.OrderLoad, Model: "m0", For: fleet.Incarnation{Instance: "i-1", Born: firstBorn}}
 	w.loader.orderPending = true
 	w.engine.restart(secondBorn)
@@ -62,7 +62,7 @@
 // A report of the earlier life is delayed and arrives after one of the new life. It shows
 // models that are gone, and must be ignored.
 func TestLateReportFromEarlierLifeIsIgnored(t *testing.T) {
-	w := newHarnessWithBorn(t, "m1")
+	w := newFixtureWithBorn(t, "m1")
 	late := w.engine.report
 	w.engine.restart(secondBorn)
 	w.run(idleReadInterval)
@@ -75,7 +75,7 @@
 // A router that has just read the registry reports the previous life, which had another
 // instance. Orders to it would all be refused until the router reads the registry again.
 func TestStaleRegistryEntryDoesNotChangeInstance(t *testing.T) {
-	w := newHarnessWithBorn(t)
+	w := newFixtureWithBorn(t)
 	w.step(DemandReceived{Router: "10.0.0.1", Demand: core.Demand{Instance: "i-1", Born: firstBorn}})
 	w.step(RouterUp{Router: "10.0.0.2"})
 	w.step(DemandReceived{Router: "10.0.0.2", Demand: core.Demand{Instance: "i-0", Born: firstBorn - 5000}})
@@ -88,7 +88,7 @@
 // when the order count is the same again. If its memory were used for other models by
 // then, the engine would exceed its memory and crash.
 func TestMemoryIsReservedForUnansweredOrder(t *testing.T) {
-	w := newHarnessWithBorn(t)
+	w := newFixtureWithBorn(t)
 	want := func(models ...string) {
 		d := core.Demand{Born: w.engine.report.Born}
 		for _, m := range models {
@@ -116,7 +116,7 @@
 // For an engine that does not report its start time, a lower order count must be detected
 // as a restart.
 func TestRestartIsDetectedByOrderCount(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m0", Waiting: 1, Within: time.Second}}})
 	w.run(2 * time.Second)
 	w.engine.restart(0)
--- a/internal/loader/spec_test.go
+++ b/internal/loader/spec_test.go
@@ -10,7 +10,7 @@
 func routerName(i int) core.HostID { return core.HostID(rune('a' + i)) }
 
 // announceSpec makes a router announce the configuration that it has.
-func (w *harness) announceSpec(router core.HostID, version int64, hash uint64) {
+func (w *fixture) announceSpec(router core.HostID, version int64, hash uint64) {
 	w.t.Helper()
 	w.step(DemandReceived{Router: router, Demand: core.Demand{Instance: "i-1", Spec: core.SpecID{Version: version, Hash: hash}}})
 }
@@ -18,7 +18,7 @@
 // 20 routers connect within some ms, and each has the engine's configuration, 11 KB of
 // it. Only one must send it: sent by all, it was nine tenths of the routers' traffic.
 func TestOneRouterSendsTheConfiguration(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	for i := range 20 {
 		w.step(RouterUp{Router: routerName(i)})
 		w.announceSpec(routerName(i), 1, 1)
@@ -38,7 +38,7 @@
 // The router that was asked is frozen. Another one must be asked, or the engine would
 // receive no orders.
 func TestAnotherRouterIsAskedForTheConfiguration(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	for i := range 3 {
 		w.step(RouterUp{Router: routerName(i)})
 		w.announceSpec(routerName(i), 1, 1)
@@ -52,7 +52,7 @@
 // Most versions of the operators' configuration change nothing for the engine, and
 // outdated routers announce an older version. Neither must be requested.
 func TestOnlyAnotherNewerConfigurationIsAskedFor(t *testing.T) {
-	w := newHarness(t)
+	w := newFixture(t)
 	w.demand("10.0.0.1", core.Demand{})
 	w.announceSpec("10.0.0.1", 2, 1)
 	w.announceSpec("10.0.0.1", 0, 7)
--- a/internal/loader/usage_test.go
+++ b/internal/loader/usage_test.go
@@ -11,7 +11,7 @@
 // Two models are loaded for a minute, one of them is called for its first half: the other
 // is idle from IdleAfter on, the first from IdleAfter after its last request.
 func TestIdleModelSecondsAreCounted(t *testing.T) {
-	w := newHarness(t, "m0", "m2")
+	w := newFixture(t, "m0", "m2")
 	w.loader.opts.IdleAfter = 10 * time.Second
 	for i := range 60 {
 		uses := []core.Use{{Model: "m0"}, {Model: "m2"}}
--- a/internal/quota/world_test.go
+++ b/internal/quota/fixture_test.go
@@ -19,8 +19,8 @@
 
 var testLimit = map[string]Limit{"a": {Rate: 18000, Burst: 18000}}
 
-// world simulates routers and loaders in virtual time, with faults.
-type world struct {
+// fixture simulates routers and loaders in virtual time, with faults.
+type fixture struct {
 	now     core.Time
 	bounds  Bounds
 	limits  map[string]Limit
@@ -71,8 +71,8 @@
 	cost float64
 }
 
-func newWorld(bounds Bounds, limits map[string]Limit, routers, loaders int) *world {
-	w := &world{now: start, bounds: bounds, limits: limits}
+func newFixture(bounds Bounds, limits map[string]Limit, routers, loaders int) *fixture {
+	w := &fixture{now: start, bounds: bounds, limits: limits}
 	for i := range loaders {
 		w.loaders = append(w.loaders, &testLoader{name: core.HostID(fmt.Sprintf("l%d", i)), cut: map[int]core.Time{}})
 		w.startLoader(i)
@@ -85,7 +85,7 @@
 }
 
 // startRouter restarts a router's process. Its waiting requests are lost.
-func (w *world) startRouter(i int) {
+func (w *fixture) startRouter(i int) {
 	r := w.routers[i]
 	r.gate, r.waiting = NewGate(w.bounds), map[uint64]float64{}
 	r.life++
@@ -94,7 +94,7 @@
 }
 
 // startLoader restarts a loader's process.
-func (w *world) startLoader(i int) {
+func (w *fixture) startLoader(i int) {
 	l := w.loaders[i]
 	l.granter = NewGranter()
 	l.life++
@@ -105,13 +105,13 @@
 }
 
 // disconnect ends the connection between a router and a loader.
-func (w *world) disconnect(router, loader int) {
+func (w *fixture) disconnect(router, loader int) {
 	w.routers[router].gate.Disconnected(w.loaders[loader].name)
 	w.messages = slices.DeleteFunc(w.messages, func(x testMessage) bool { return x.router == router && x.loader == loader })
 }
 
 // request sends a caller's request to a router.
-func (w *world) request(router int, account string, cost float64) Decision {
+func (w *fixture) request(router int, account string, cost float64) Decision {
 	r := w.routers[router]
 	w.keys++
 	d := r.gate.Admit(w.now, w.keys, account, cost)
@@ -124,7 +124,7 @@
 	return d
 }
 
-func (w *world) record(r *testRouter, cost float64, d Decision) {
+func (w *fixture) record(r *testRouter, cost float64, d Decision) {
 	r.last = d
 	if d.Outcome == Admitted {
 		r.admitted += cost
@@ -139,7 +139,7 @@
 }
 
 // run advances the time.
-func (w *world) run(d time.Duration) {
+func (w *fixture) run(d time.Duration) {
 	for end := w.now.Add(d); w.now < end; {
 		w.now = w.now.Add(time.Millisecond)
 		w.deliver()
@@ -157,7 +157,7 @@
 	}
 }
 
-func (w *world) reachable(router int) []core.HostID {
+func (w *fixture) reachable(router int) []core.HostID {
 	var names []core.HostID
 	for _, l := range w.loaders {
 		if w.now >= l.cut[router] {
@@ -168,7 +168,7 @@
 }
 
 // exchange sends a router's due messages and records its verdicts.
-func (w *world) exchange(router int) {
+func (w *fixture) exchange(router int) {
 	r := w.routers[router]
 	for _, v := range r.gate.Verdicts() {
 		w.record(r, r.waiting[v.Key], v.Decision)
@@ -184,7 +184,7 @@
 
 // deliver delivers messages that are due. A partition delays them, like a connection that
 // is not reset, and so does a suspended process.
-func (w *world) deliver() {
+func (w *fixture) deliver() {
 	due := w.messages
 	w.messages = nil
 	for _, x := range due {
@@ -205,7 +205,7 @@
 }
 
 // inWindow is the cost of what was admitted within the last window.
-func (w *world) inWindow() float64 {
+func (w *fixture) inWindow() float64 {
 	w.uses = slices.DeleteFunc(w.uses, func(u testUse) bool { return u.at <= w.now.Add(-w.bounds.Window) })
 	sum := 0.0
 	for _, u := range w.uses {
@@ -215,7 +215,7 @@
 }
 
 // shares is the sum of the parts of the bounds that all processes hold.
-func (w *world) shares() float64 {
+func (w *fixture) shares() float64 {
 	sum := 0.0
 	for _, r := range w.routers {
 		if w.now >= r.pausedUntil {
@@ -231,7 +231,7 @@
 	return sum
 }
 
-func checkShares(t interface{ Errorf(string, ...any) }, w *world) {
+func checkShares(t interface{ Errorf(string, ...any) }, w *fixture) {
 	if sum := w.shares(); sum > 1+1e-6 {
 		t.Errorf("%v: %.4f of the bounds is held", w.now.Sub(start), sum)
 	}
--- a/internal/quota/granter.go
+++ b/internal/quota/granter.go
@@ -102,17 +102,17 @@
 
 // renewLoan records what a router lends until a time. If the router queries whether its slots
 // are still held, they stay on loan and their number is returned.
-func (g *Granter) renewLoan(now core.Time, m *member, ask core.QuotaRequest, until core.Time) (held int) {
+func (g *Granter) renewLoan(now core.Time, m *member, request core.QuotaRequest, until core.Time) (held int) {
 	changed := false
 	switch {
-	case ask.Slots > 0 && ask.Routers > 0:
-		changed = m.slots != min(Slots, ask.Slots) || m.routers != ask.Routers
-		if ask.Slots > m.slots {
+	case request.Slots > 0 && request.Routers > 0:
+		changed = m.slots != min(Slots, request.Slots) || m.routers != request.Routers
+		if request.Slots > m.slots {
 			m.since = now
 			g.nextChange = min(g.nextChange, g.maturesAt(m))
 		}
-		m.slots, m.routers = min(Slots, ask.Slots), ask.Routers
-	case ask.Adopt && m.slots > 0:
+		m.slots, m.routers = min(Slots, request.Slots), request.Routers
+	case request.Adopt && m.slots > 0:
 		held = m.slots
 	default:
 		return 0
--- a/internal/quota/property_test.go
+++ b/internal/quota/property_test.go
@@ -16,8 +16,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 1500, Routers: 3}
 		limits := map[string]Limit{"a": {Rate: 300, Burst: 300}}
-		w := newWorld(bounds, limits, 3, rapid.IntRange(2, 4).Draw(t, "loaders"))
-		h := history{T: t, world: w, maxUse: bounds.MaxUse(limits["a"])}
+		w := newFixture(bounds, limits, 3, rapid.IntRange(2, 4).Draw(t, "loaders"))
+		h := history{T: t, fixture: w, maxUse: bounds.MaxUse(limits["a"])}
 		h.pass(4 * time.Second)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			h.fault()
@@ -26,10 +26,10 @@
 	})
 }
 
-// history is a random sequence of faults in a world.
+// history is a random sequence of faults in a fixture.
 type history struct {
 	*rapid.T
-	*world
+	*fixture
 	maxUse float64
 }
 
@@ -44,7 +44,7 @@
 			}
 		}
 		h.run(pause)
-		checkShares(h, h.world)
+		checkShares(h, h.fixture)
 		if sum := h.inWindow(); sum > h.maxUse {
 			h.Fatalf("%v: %.0f ran within a window, allowed are %.0f", h.now.Sub(start), sum, h.maxUse)
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,8 +10,8 @@
 
 // newFleet returns 28 routers and four loaders that are connected and have exchanged
 // messages.
-func newFleet() *world {
-	w := newWorld(testBounds(), testLimit, 28, 4)
+func newFleet() *fixture {
+	w := newFixture(testBounds(), testLimit, 28, 4)
 	w.run(10 * time.Second)
 	return w
 }
@@ -164,7 +164,7 @@
 // Guards against using a share twice: a disconnected router may be partitioned and still
 // serve callers, so the others must not divide its share among them.
 func TestDisconnectedRouterKeepsItsShare(t *testing.T) {
-	w := newWorld(testBounds(), testLimit, 3, 4)
+	w := newFixture(testBounds(), testLimit, 3, 4)
 	w.run(10 * time.Second)
 	for _, l := range w.loaders {
 		l.cut[0] = core.Never
@@ -228,7 +228,7 @@
 // Guards against treating an account that was removed and added again as one that was never
 // used.
 func TestReaddedAccountGainsNoTokens(t *testing.T) {
-	w := newWorld(testBounds(), testLimit, 1, 1)
+	w := newFixture(testBounds(), testLimit, 1, 1)
 	w.run(5 * time.Second)
 	w.loaders[0].cut[0] = core.Never
 	w.run(returnDelay + 5*time.Second)
@@ -307,7 +307,7 @@
 // Guards against using a share again while grants of its last holder are still in use: a
 // loader restarts, and its share is lent to another loader.
 func TestShareOfRestartedLoaderWaitsForItsGrants(t *testing.T) {
-	w := newWorld(testBounds(), testLimit, 1, 2)
+	w := newFixture(testBounds(), testLimit, 1, 2)
 	w.run(5 * time.Second)
 	ended, other := w.loaders[0], w.loaders[1]
 	if ended.granter.Share(w.now) < other.granter.Share(w.now) {
