--- a/internal/core/agent/tenure.go
+++ b/internal/core/agent/tenure.go
@@ -15,7 +15,7 @@
 // from the time at which the answered report was sent. The steward waits for
 // the tenure plus a margin from the time at which it wrote the renewal, which
 // is later. Each order checks the tenure when it is decided, and carries a
-// NotAfter that the shell checks again right before sending.
+// NotAfter that the process checks again right before sending.
 type tenure struct {
 	until core.Time
 	// granted is set by the first Grant of this incarnation.
--- a/internal/core/config/delta.go
+++ b/internal/core/config/delta.go
@@ -7,20 +7,20 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// maxUnconfirmed limits the revisions that were handed to the shell and are not
+// maxUnconfirmed limits the revisions that were handed to the process and are not
 // yet confirmed.
 const maxUnconfirmed = 8
 
-// shellRevisions holds the revisions that were handed to the shell.
+// deliveredRevisions holds the revisions that were handed to the process.
 //
-// A difference to a revision that the shell rejected (a newer release wrote it)
+// A difference to a revision that the process rejected (a newer release wrote it)
 // or no longer keeps would leave resources missing from the configuration in
-// force. A difference is therefore made only to base, which the shell has
+// force. A difference is therefore made only to base, which the process has
 // confirmed to be in force and which was handed over no earlier than the last
 // whole configuration; a SnapshotBuilder keeps all revisions from the newest
 // base on. A rejected revision stays in unconfirmed until maxUnconfirmed others
 // follow it.
-type shellRevisions struct {
+type deliveredRevisions struct {
 	base        sizedRevision
 	unconfirmed []sizedRevision
 }
@@ -31,13 +31,13 @@
 	size int
 }
 
-func (h *shellRevisions) add(given sizedRevision) {
+func (h *deliveredRevisions) add(given sizedRevision) {
 	h.unconfirmed = append(h.unconfirmed, given)
 	h.unconfirmed = slices.Clone(h.unconfirmed[max(0, len(h.unconfirmed)-maxUnconfirmed):])
 }
 
 // confirm makes a revision in force the base, and drops older ones.
-func (h *shellRevisions) confirm(revision int64) {
+func (h *deliveredRevisions) confirm(revision int64) {
 	h.base = sizedRevision{}
 	for len(h.unconfirmed) > 0 && h.unconfirmed[0].Revision <= revision {
 		if h.unconfirmed[0].Revision == revision {
@@ -47,19 +47,19 @@
 	}
 }
 
-// configApplied returns the effect that hands a revision to the shell: the
+// configApplied returns the effect that hands a revision to the process: the
 // difference to the base, or the whole configuration if there is no base or if
 // more than half of the chunks changed.
 func (p *Part) configApplied(head core.ConfigHead) core.ConfigApplied {
-	d, base := delta{}, p.shell.base
+	d, base := delta{}, p.delivered.base
 	if !d.compute(base.ConfigHead, head, p.chunks) {
 		document := assemble(head.Chunks, p.chunks)
-		p.shell = shellRevisions{}
-		p.shell.add(sizedRevision{head, api.DocumentSize(document)})
+		p.delivered = deliveredRevisions{}
+		p.delivered.add(sizedRevision{head, api.DocumentSize(document)})
 		return core.ConfigApplied{Revision: head.Revision, Document: document}
 	}
 	size := base.size + d.sizeChange
-	p.shell.add(sizedRevision{head, size})
+	p.delivered.add(sizedRevision{head, size})
 	return core.ConfigApplied{
 		Revision: head.Revision, Base: base.Revision,
 		Document: api.JoinDocument(d.put), Deleted: d.deleted, Size: size,
--- a/internal/core/config/delta_test.go
+++ b/internal/core/config/delta_test.go
@@ -13,9 +13,9 @@
 
 // deltaFixture is a part and its snapshot builder, to which revisions are passed directly.
 type deltaFixture struct {
-	t      *testing.T
-	part   *Part
-	keeper SnapshotBuilder
+	t         *testing.T
+	part      *Part
+	snapshots SnapshotBuilder
 }
 
 // adopt makes the part adopt a revision of the resources, after damage changed its chunks.
@@ -46,7 +46,7 @@
 }
 
 // TestDifferenceBuildsOnConfirmedRevision checks that a difference builds on the
-// newest revision that the shell has confirmed, not on one that it rejected or
+// newest revision that the process has confirmed, not on one that it rejected or
 // has not confirmed yet. Changes are listed only if the base is in force.
 func TestDifferenceBuildsOnConfirmedRevision(t *testing.T) {
 	w := &deltaFixture{t: t, part: New(Config{})}
@@ -58,7 +58,7 @@
 	}{{"1", false, true}, {"0", true, false}, {"2", false, false}, {"3", false, true}, {"4", false, true}} {
 		applied := w.adopt(int64(revision+1), model(step.memory), nil)
 		bases += fmt.Sprintf("%d ", applied.Base)
-		inForce, err := w.keeper.Apply(applied)
+		inForce, err := w.snapshots.Apply(applied)
 		if (err != nil) != step.refused {
 			t.Fatalf("revision %d: %v", applied.Revision, err)
 		}
@@ -80,7 +80,7 @@
 	if applied := w.adopt(8, model("6"), nil); applied.Base != 0 {
 		t.Errorf("based on %d after a revision with unknown chunks came into force", applied.Base)
 	}
-	if _, err := w.keeper.Apply(core.ConfigApplied{Revision: 9, Base: 8, Document: []byte("[]")}); !errors.Is(err, ErrNoBase) {
+	if _, err := w.snapshots.Apply(core.ConfigApplied{Revision: 9, Base: 8, Document: []byte("[]")}); !errors.Is(err, ErrNoBase) {
 		t.Errorf("unknown base: %v", err)
 	}
 }
@@ -99,7 +99,7 @@
 	last[0] = modelResource("m0", "3", "")
 	for i, resources := range [][]api.Resource{models("1"), models("2"), last} {
 		applied := w.adopt(int64(i+1), resources, nil)
-		inForce, err := w.keeper.Apply(applied)
+		inForce, err := w.snapshots.Apply(applied)
 		if err != nil || applied.Base != 0 {
 			t.Fatalf("revision %d on %d: %v", applied.Revision, applied.Base, err)
 		}
@@ -132,7 +132,7 @@
 		"not readable":          func(c [][]byte) { c[home] = []byte("[{]") },
 	} {
 		w := &deltaFixture{t: t, part: New(Config{})}
-		inForce, err := w.keeper.Apply(w.adopt(1, []api.Resource{m}, nil))
+		inForce, err := w.snapshots.Apply(w.adopt(1, []api.Resource{m}, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 		if wholeErr == nil {
 			_, wholeErr = api.Build(2, resources)
 		}
-		patched, err := w.keeper.Apply(applied)
+		patched, err := w.snapshots.Apply(applied)
 		if (err == nil) != (wholeErr == nil) {
 			t.Errorf("%s: patched: %v; whole: %v", name, err, wholeErr)
 		}
--- a/internal/core/config/fixture_test.go
+++ b/internal/core/config/fixture_test.go
@@ -20,11 +20,11 @@
 	event core.Event
 }
 
-// node is a process: the part, and a shell that puts the assembled revisions in force.
+// node is a process: the part, and a snapshot builder for the assembled revisions.
 type node struct {
-	part   *Part
-	keeper SnapshotBuilder
-	kv     bool
+	part      *Part
+	snapshots SnapshotBuilder
+	kv        bool
 	// corrupts is set if every chunk that the node sends arrives damaged.
 	corrupts bool
 	// mute is set if all messages of the node except announcements are lost.
@@ -197,11 +197,11 @@
 	}
 }
 
-// putInForce acts as the shell. It checks that no revision reverts, and that the
+// putInForce acts as the process around the part. It checks that no revision reverts, and that the
 // snapshot equals the one built from scratch from the revision's chunks.
 func (w *fixture) putInForce(host core.HostID, applied core.ConfigApplied) {
 	n := w.nodes[host]
-	inForce, err := n.keeper.Apply(applied)
+	inForce, err := n.snapshots.Apply(applied)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/core/config/part.go
+++ b/internal/core/config/part.go
@@ -78,11 +78,11 @@
 	// chunks and those collected for the revision that is being fetched.
 	newest core.ConfigHead
 	chunks map[string][]byte
-	// inForce is the revision that the shell last reported in force, and
+	// inForce is the revision that the process last reported in force, and
 	// snapshot its content.
-	inForce  int64
-	snapshot *api.Snapshot
-	shell    shellRevisions
+	inForce   int64
+	snapshot  *api.Snapshot
+	delivered deliveredRevisions
 
 	kvUp        bool
 	peers       map[core.HostID]*peer
@@ -168,7 +168,7 @@
 	return next
 }
 
-// confirmed records that the shell put a revision in force, and announces it
+// confirmed records that the process put a revision in force, and announces it
 // to the peers that are not known to have it. An agent announces it to all its
 // peers: the entry that sent the revision would otherwise not learn that it is
 // in force at the agent.
@@ -178,7 +178,7 @@
 		return
 	}
 	p.inForce, p.snapshot = revision, snapshot
-	p.shell.confirm(revision)
+	p.delivered.confirm(revision)
 	p.forgetChunks()
 	for _, host := range core.SortedKeys(p.peers) {
 		if !p.cfg.KV || p.peers[host].revision < revision {
@@ -187,8 +187,8 @@
 	}
 }
 
-// adopt hands a completely assembled revision to the shell. It is offered to
-// peers only once the shell has checked it and put it in force.
+// adopt hands a completely assembled revision to the process. It is offered to
+// peers only once the process has checked it and put it in force.
 //
 // An older or equal revision, from a stale peer or a late answer, is ignored:
 // it would revert settings. newest changes only here, so the revisions of
@@ -213,8 +213,8 @@
 // may build on.
 func (p *Part) forgetChunks() {
 	named := map[string]bool{}
-	heads := []core.ConfigHead{p.newest, p.shell.base.ConfigHead}
-	for _, given := range p.shell.unconfirmed {
+	heads := []core.ConfigHead{p.newest, p.delivered.base.ConfigHead}
+	for _, given := range p.delivered.unconfirmed {
 		heads = append(heads, given.ConfigHead)
 	}
 	if p.fetch != nil {
--- a/internal/core/config/property_test.go
+++ b/internal/core/config/property_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestApplyResultsMatchConfiguration has operators change models at two entries
-// while the KV service fails, answers are lost and connections break. The test
-// shell panics if any process reverts. At the end of each run the faults are
+// while the KV service fails, answers are lost and connections break. The
+// fixture panics if any process reverts. At the end of each run the faults are
 // over, and then:
 //   - all processes have the same revision in force;
 //   - every change answered with success is in force, every change answered
--- a/internal/core/config/snapshot.go
+++ b/internal/core/config/snapshot.go
@@ -15,7 +15,7 @@
 	ErrBadSize = errors.New("the patched configuration and its chunks differ in the number of resources")
 )
 
-// SnapshotBuilder builds, in the shell, the snapshot to put in force from a
+// SnapshotBuilder builds, outside the reducer, the snapshot to put in force from a
 // ConfigApplied. It keeps the snapshots that later differences may build on;
 // they share unchanged resources. The zero value is ready to use. It is not safe
 // for concurrent use.
--- a/internal/daemon/change_shell_test.go
+++ b/internal/daemon/change_applier_test.go
@@ -10,13 +10,13 @@
 
 // benchConfigApplier puts configurations in force in the same way as the daemon.
 type benchConfigApplier struct {
-	keeper   config.SnapshotBuilder
-	operator *operator.Handler
-	revision int64
+	snapshots config.SnapshotBuilder
+	operator  *operator.Handler
+	revision  int64
 }
 
 func (s *benchConfigApplier) apply(b *testing.B, applied core.ConfigApplied) core.Event {
-	inForce, err := s.keeper.Apply(applied)
+	inForce, err := s.snapshots.Apply(applied)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -13,7 +13,7 @@
 	if !ok {
 		return false
 	}
-	inForce, err := p.keeper.Apply(applied)
+	inForce, err := p.snapshots.Apply(applied)
 	if err != nil {
 		p.count(countBadConfig)
 		p.logger.Error("configuration refused", "revision", applied.Revision, "error", err.Error())
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -47,8 +47,8 @@
 
 // nodeProcess contains what routers and loaders have in common.
 type nodeProcess struct {
-	settings *settings.Node
-	ring     *telemetry.AsyncWriter
+	settings  *settings.Node
+	logWriter *telemetry.AsyncWriter
 	// log is for messages about the process, requests for those about single
 	// requests.
 	log, requests *slog.Logger
@@ -65,12 +65,12 @@
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(s.MemoryMB * memoryLimitRatio * (1 << 20)))
 	}
-	p := &nodeProcess{settings: s, ring: telemetry.NewAsyncWriter(out), failed: make(chan error, 4)}
+	p := &nodeProcess{settings: s, logWriter: telemetry.NewAsyncWriter(out), failed: make(chan error, 4)}
 	var err error
-	if p.log, err = telemetry.NewLogger(p.ring, s.Log); err != nil {
+	if p.log, err = telemetry.NewLogger(p.logWriter, s.Log); err != nil {
 		return nil, err
 	}
-	if p.requests, err = telemetry.NewLogger(p.ring.RequestWriter(), s.Log); err != nil {
+	if p.requests, err = telemetry.NewLogger(p.logWriter.RequestWriter(), s.Log); err != nil {
 		return nil, err
 	}
 	p.log, p.requests = p.log.With("host", s.Host), p.requests.With("host", s.Host)
@@ -183,5 +183,5 @@
 	} else {
 		p.log.Info("stopped")
 	}
-	p.ring.Close(logFlushTimeout)
+	p.logWriter.Close(logFlushTimeout)
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -49,7 +49,7 @@
 	// without one.
 	callers     *http.Server
 	callerConns *callerConns
-	keeper      config.SnapshotBuilder
+	snapshots   config.SnapshotBuilder
 	drain       drainSignal
 	// failed receives the error of a listener that ended early.
 	failed chan error
--- a/internal/operator/client/client_test.go
+++ b/internal/operator/client/client_test.go
@@ -24,11 +24,11 @@
 // entry runs the config part behind a handler, with an in-memory KV service that can
 // be made to fail.
 type entry struct {
-	part    *config.Part
-	keeper  config.SnapshotBuilder
-	handler *operator.Handler
-	kv      map[string][]byte
-	mu      sync.Mutex
+	part      *config.Part
+	snapshots config.SnapshotBuilder
+	handler   *operator.Handler
+	kv        map[string][]byte
+	mu        sync.Mutex
 	// fault, if not OK, is the result of all KV calls.
 	fault code.Code
 	// loseHeadResult makes the next write of the head take effect but return
@@ -61,7 +61,7 @@
 			}
 			e.step(result)
 		case core.ConfigApplied:
-			inForce, err := e.keeper.Apply(ev)
+			inForce, err := e.snapshots.Apply(ev)
 			if err != nil {
 				panic(err)
 			}
--- a/internal/router/attempt.go
+++ b/internal/router/attempt.go
@@ -52,7 +52,7 @@
 	if req.route.Repeatable() && (!req.forwarded || req.route.Kind == fleet.Stream) {
 		if req.forwarded {
 			// Its caller has just received an event and waits for the next one from now on.
-			req.firstEventDeadline = min(req.deadline, r.now.Add(patience(req.route)))
+			req.firstEventDeadline = min(req.deadline, r.now.Add(firstEventTimeout(req.route)))
 		}
 		r.dispatch(req)
 		return
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -116,18 +116,18 @@
 
 func sameUse(sent, now core.Use, past time.Duration) bool {
 	return sent.Model == now.Model && sent.Adapter == now.Adapter && sent.Spare == now.Spare && sent.Copies == now.Copies &&
-		sameRunning(sent.Running, now.Running) &&
-		sameRate(core.Decayed(sent.Rate, core.RateMemory, past), now.Rate, minRateChange) &&
-		sameRate(core.Decayed(sent.FastRate, core.FastRateMemory, past), now.FastRate, minFastRateChange)
+		similarRunning(sent.Running, now.Running) &&
+		similarRate(core.Decayed(sent.Rate, core.RateMemory, past), now.Rate, minRateChange) &&
+		similarRate(core.Decayed(sent.FastRate, core.FastRateMemory, past), now.FastRate, minFastRateChange)
 }
 
-// sameRunning reports whether two counts are equivalent for a loader: whether any request
+// similarRunning reports whether two counts are equivalent for a loader: whether any request
 // runs, and the number to within a half.
-func sameRunning(sent, now int) bool {
+func similarRunning(sent, now int) bool {
 	return (sent == 0) == (now == 0) && 2*max(sent-now, now-sent) <= max(sent, now)
 }
 
-func sameRate(sent, now, least float64) bool {
+func similarRate(sent, now, least float64) bool {
 	return math.Abs(sent-now) <= max(least, rateTolerance*sent)
 }
 
--- a/internal/router/ending.go
+++ b/internal/router/ending.go
@@ -125,8 +125,8 @@
 	if req.prompt != nil && r.engine(req.service) != nil {
 		return r.promptOverdue(req, wait)
 	}
-	patience := max(suspectAfter*r.baseLatency(req.backend), time.Duration(hedgeFraction*float64(req.route.Objective)))
-	return wait >= patience && r.servedElsewhere(req)
+	threshold := max(suspectAfter*r.baseLatency(req.backend), time.Duration(hedgeFraction*float64(req.route.Objective)))
+	return wait >= threshold && r.servedElsewhere(req)
 }
 
 // promptOverdue reports whether a generation should be moved from an engine that has not
@@ -139,8 +139,8 @@
 // cost at another engine.
 func (r *Router) promptOverdue(req *request, wait time.Duration) bool {
 	b, predicted := req.backend, req.attempt.forecast.first
-	patience := max(lateAfter*predicted, time.Duration(hedgeFraction*float64(req.route.Objective)))
-	if wait < patience {
+	threshold := max(lateAfter*predicted, time.Duration(hedgeFraction*float64(req.route.Objective)))
+	if wait < threshold {
 		return false
 	}
 	best := r.bestLoaded(req)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -133,7 +133,7 @@
 	}
 	req.firstEventDeadline = req.deadline
 	if req.route.Kind == fleet.Stream {
-		req.firstEventDeadline = min(req.deadline, at.Add(patience(req.route)))
+		req.firstEventDeadline = min(req.deadline, at.Add(firstEventTimeout(req.route)))
 	}
 	if r.charge(req) {
 		r.accept(req)
@@ -153,8 +153,8 @@
 	r.dispatch(req)
 }
 
-// patience is how long a stream's caller waits for the first event.
-func patience(route *fleet.Route) time.Duration {
+// firstEventTimeout is how long a stream's caller waits for the first event.
+func firstEventTimeout(route *fleet.Route) time.Duration {
 	return max(minGap, gapObjectives*route.Objective, gapPauses*route.PauseObjective)
 }
 
--- a/internal/telemetry/asyncwriter_test.go
+++ b/internal/telemetry/asyncwriter_test.go
@@ -56,11 +56,11 @@
 
 // BenchmarkRingLine measures the cost of a log line to the goroutine that logs it.
 func BenchmarkRingLine(b *testing.B) {
-	ring := NewAsyncWriter(io.Discard)
+	writer := NewAsyncWriter(io.Discard)
 	line := []byte(strings.Repeat("r", 299) + "\n")
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = ring.Write(line)
+		_, _ = writer.Write(line)
 	}
-	ring.Close(time.Second)
+	writer.Close(time.Second)
 }
