--- a/internal/core/config/fixture_test.go
+++ b/internal/core/config/fixture_test.go
@@ -197,8 +197,9 @@
 	}
 }
 
-// putInForce acts as the process around the part. It checks that no revision reverts, and that the
-// snapshot equals the one built from scratch from the revision's chunks.
+// putInForce acts as the process around the part. It checks that no revision
+// reverts, and that the snapshot equals the one built from scratch from the
+// revision's chunks.
 func (w *fixture) putInForce(host core.HostID, applied core.ConfigApplied) {
 	n := w.nodes[host]
 	inForce, err := n.snapshots.Apply(applied)
--- a/internal/core/entry/agents.go
+++ b/internal/core/entry/agents.go
@@ -222,7 +222,7 @@
 }
 
 // maxPendingCancels bounds the cancels kept for an agent that is disconnected. An agent
-// drops by itself an attempt that nobody resumes; a cancel only saves work.
+// drops by itself an attempt that no entry resumes; a cancel only saves work.
 const maxPendingCancels = 1024
 
 func (a *agent) queueCancel(attempt core.AttemptID) {
--- a/internal/core/entry/keyed.go
+++ b/internal/core/entry/keyed.go
@@ -21,7 +21,7 @@
 // Limits: an agent's record of keys ends with its process. A retry reaches an agent
 // without that record if the slot moved, if the slots that may hold the adapter changed,
 // if the first agent's roster entry was dropped, or if a new agent with a higher score
-// for the key was added. A caller that got OutcomeUnknown was told that its call may have
+// for the key was added. OutcomeUnknown informs a caller that its call may have
 // run.
 
 func scopedKey(r *request) string { return r.arrived.ClientAccount + "\x00" + r.arrived.Key }
--- a/internal/core/entry/stop.go
+++ b/internal/core/entry/stop.go
@@ -115,7 +115,7 @@
 }
 
 // extendStopDelay restarts the delay when a request from before the stop ends. The head
-// of its answer was sent before the caller could be told to close the connection, so one
+// of its answer was sent before the header that closes the connection could be added, so one
 // more request may arrive on it.
 func (p *Part) extendStopDelay(r *request) {
 	if p.stop.stopping && r.arrivedAt < p.stop.began {
--- a/internal/core/limit.go
+++ b/internal/core/limit.go
@@ -18,12 +18,14 @@
 	SentAgo, ReceivedAgo time.Duration
 }
 
-// LimitRequest is sent by a router to the loader that enforces a server's limit. It reports the
-// limit known to the router and, if RequestID is set, requests a permit to send a request there.
+// LimitRequest is sent by a router to the loader that enforces a server's limit. It reports
+// the limit known to the router and, if RequestID is set, requests a permit to send a
+// request there.
 type LimitRequest struct {
 	Server ServerLife    `cbor:"1,keyasint"`
 	Limit  ReportedLimit `cbor:"2,keyasint"`
-	// RequestID identifies the request and is repeated by the answer; 0 if no permit is requested.
+	// RequestID identifies the request and is repeated by the answer; 0 if no permit is
+	// requested.
 	RequestID uint64 `cbor:"3,keyasint,omitempty"`
 	// Spare is set if another server could serve the request as well.
 	Spare bool `cbor:"4,keyasint,omitempty"`
--- a/internal/core/limit_test.go
+++ b/internal/core/limit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Each request to a server with a limit costs a LimitRequest and a LimitReply, which have to stay
-// smaller than the request's own header.
+// Each request to a server with a limit costs a LimitRequest and a LimitReply,
+// which have to stay smaller than the request's own header.
 func TestLimitMessagesAreSmall(t *testing.T) {
 	server := ServerLife{Instance: "i-4f6d9f84b0", Born: 1764745965123}
 	limit := ReportedLimit{Named: true, PerSecond: 4.7, SentAgo: 20 * time.Millisecond, ReceivedAgo: 10 * time.Millisecond}
--- a/internal/core/quota.go
+++ b/internal/core/quota.go
@@ -28,8 +28,9 @@
 	Cost, Ahead int64
 }
 
-// QuotaRequest is sent by a router to a loader that enforces the bounds. It lends the loader the
-// router's share of all bounds and requests tokens. It is answered by one QuotaReply.
+// QuotaRequest is sent by a router to a loader that enforces the bounds. It lends the
+// loader the router's share of all bounds and requests tokens. It is answered by one
+// QuotaReply.
 type QuotaRequest struct {
 	// Number identifies the message and is repeated by the answer.
 	Number uint64 `cbor:"1,keyasint"`
--- a/internal/core/steward/grant.go
+++ b/internal/core/steward/grant.go
@@ -38,7 +38,7 @@
 	}})
 }
 
-// refuse tells a fenced agent, by a Grant without tenure, that its incarnation
+// refuse informs a fenced agent, by a Grant without tenure, that its incarnation
 // gets no more slots: only a new one can own slots on the host.
 func (p *Part) refuse(h *hostState, last sentGrant) {
 	if last.sequence == h.report.Sequence {
--- a/internal/core/steward/hosts.go
+++ b/internal/core/steward/hosts.go
@@ -272,7 +272,7 @@
 	if h.entry.Fenced {
 		// A fenced entry is not written again, so no change of the roster triggers
 		// an answer to the report. Without a Grant here, an agent alone in its zone
-		// would never learn that it is fenced, and would stay without slots.
+		// would never be informed that it is fenced, and would stay without slots.
 		p.grant(now, h)
 	}
 	if urgent(h, report) {
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -179,9 +179,9 @@
 	switch {
 	case c == nil:
 	case c.known && ev.Revision == 0:
-		// A deletion carries no revision, so a late one can't be told from a
-		// new one, and would hide a record written since. The key is read to
-		// decide; the jitter spreads the reads of all entries.
+		// A deletion carries no revision, so a late one can't be distinguished
+		// from a new one, and would hide a record written since. The key is
+		// read to decide; the jitter spreads the reads of all entries.
 		c.mustRead, c.retryAt = true, now.Add(p.jitter(claimWindow))
 	default:
 		p.applyValue(now, c, ev.Value, ev.Revision)
--- a/internal/daemon/loader.go
+++ b/internal/daemon/loader.go
@@ -81,7 +81,7 @@
 	case <-ctx.Done():
 	}
 	p.log.Info("stopping")
-	// Waits for orders in progress: the next loader would learn of their results
+	// Waits for orders in progress: the next loader would receive their results
 	// only from the engine's report.
 	p.calls.Wait()
 	closeNode(p.links)()
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -261,7 +261,7 @@
 }
 
 // A process is suspended between two watches for so long that the service has discarded the
-// changes in between. An empty batch would hide them for good: the answer must require a
+// changes in between. An empty batch would hide them permanently: the answer must require a
 // list.
 func TestCompactedWatchReturnsErrCompacted(t *testing.T) {
 	r := newRig(t, standin.Options{}, kv.ClientOptions{})
--- a/internal/limit/announcement_test.go
+++ b/internal/limit/announcement_test.go
@@ -14,7 +14,7 @@
 
 // A server announces a limit, lowers it and drops it while earlier answers are still on
 // their way. Processed in order of arrival, an old one would remove a limit in force, or
-// bring back one that has ended.
+// restore one that has ended.
 func TestUpdateIgnoresOutdatedAnnouncements(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/internal/limit/fleet_test.go
+++ b/internal/limit/fleet_test.go
@@ -237,8 +237,8 @@
 	return false
 }
 
-// evenShares is the strategy in which each router sends its equal share and nobody
-// counts. All routers learn the limit at once.
+// evenShares is the strategy in which each router sends its equal share and no
+// loader counts. All routers learn the limit at once.
 type evenShares struct{ permits }
 
 func newEvenShares(s script) strategy {
--- a/internal/load/fault_test.go
+++ b/internal/load/fault_test.go
@@ -261,7 +261,8 @@
 }
 
 // The entry queues a request that it can't serve in time until shortly before
-// the deadline instead of refusing it at once, so the caller waits in vain.
+// the deadline instead of refusing it at once, so the caller waits without a
+// result.
 func TestLateRefusalIsFound(t *testing.T) {
 	s := &system{answer: func(w http.ResponseWriter, _ *http.Request) { refuse(w, "1") }}
 	summary := runAgainst(t, s, Class{Calls: modelCalls()}, func(p *Plan) { p.RefusalLimit = 1 })
--- a/internal/loader/decide_test.go
+++ b/internal/loader/decide_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// While an engine loads a model it also refuses orders for adapters. Guards against
-// sending these again every 30 ms for as long as the load takes, hundreds in vain.
+// While an engine loads a model it also refuses orders for adapters. Guards against sending
+// these again every 30 ms for as long as the load takes, hundreds of times, all refused.
 func TestNoAdapterOrdersWhileBusy(t *testing.T) {
 	w := newFixture(t, "m0")
 	w.demand("10.0.0.1", core.Demand{Wants: []core.Want{{Model: "m1", Waiting: 1, Within: time.Second}}})
--- a/internal/loader/digest_test.go
+++ b/internal/loader/digest_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Guards against a smaller fleet, in which nobody sends digests, receiving no heartbeats.
+// Guards against a smaller fleet, in which no router sends digests, receiving no heartbeats.
 func TestSmallFleetReceivesHeartbeats(t *testing.T) {
 	w := largeFleet(t, 68)
 	if messages := w.countMessages(3 * HeartbeatInterval); len(messages) < len(w.loader.names) {
--- a/internal/loader/ended_test.go
+++ b/internal/loader/ended_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A router reports an engine's end, and another router starts later and knows nothing.
+// A router reports an engine's end, and another router starts later without that report.
 // The loader must send it the ends that it has forwarded, once, without requests that
 // were cleared.
 func TestNewRouterReceivesPoisonEnds(t *testing.T) {
--- a/internal/loader/restart.go
+++ b/internal/loader/restart.go
@@ -27,7 +27,7 @@
 
 // isCurrentLife reports whether a report is of the engine's current life, and resets the
 // engine's state if the report is the first of a new life. A report of an earlier life
-// arrived late: using it would bring back models that are gone.
+// arrived late: using it would restore models that are no longer loaded.
 func (l *Loader) isCurrentLife(report fleet.Report) bool {
 	life := &l.engine.life
 	order := fleet.Incarnation{Born: report.Born}.Compare(*life)
--- a/internal/loader/restart_test.go
+++ b/internal/loader/restart_test.go
@@ -24,7 +24,7 @@
 }
 
 // The engine restarts during a load, within one report interval. Guards against waiting
-// for the end of an order that nobody executes. The load must be ordered again from the
+// for the end of an order that is not being executed. The load must be ordered again from the
 // first report of the new life.
 func TestOrderLostInRestartIsSentAgain(t *testing.T) {
 	w := newFixtureWithBorn(t, "m1")
--- a/internal/loader/retire.go
+++ b/internal/loader/retire.go
@@ -11,7 +11,7 @@
 // started, and completes the others first, for seconds in which it accepts no other
 // order. For a busy model that means dozens of refusals at once, and callers whose route
 // allows only one server have to retry. So a model in use is retired first: routers are
-// told to send it no more requests and use other copies, and the order follows when no
+// instructed to send it no more requests and use other copies, and the order follows when no
 // request is left here.
 
 // retireTTL is the time after which a retirement that no order followed is cancelled,
--- a/internal/loader/usage_test.go
+++ b/internal/loader/usage_test.go
@@ -7,7 +7,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Operators use the counters to see how long accelerators hold models that nobody calls.
+// Operators use the counters to see how long accelerators hold models without requests.
 // Two models are loaded for a minute, one of them is called for its first half: the other
 // is idle from IdleAfter on, the first from IdleAfter after its last request.
 func TestIdleModelSecondsAreCounted(t *testing.T) {
--- a/internal/poison/poison_test.go
+++ b/internal/poison/poison_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// One router knows when a server's life began, another does not yet. Their reports must
-// count as one end. Two lives of one instance must count as two.
+// One router has the start time of a server's life, another does not have it yet. Their
+// reports must count as one end. Two lives of one instance must count as two.
 func TestLivesWithAndWithoutBirth(t *testing.T) {
 	l := New()
 	for _, born := range []int64{7, 0, 7, 9} {
--- a/internal/quota/admit.go
+++ b/internal/quota/admit.go
@@ -17,8 +17,8 @@
 	// maxRetryAfter is the largest retry delay: every bucket refills several times within a
 	// window of the bounds in use.
 	maxRetryAfter = 8 * time.Second
-	// maxRequestDelay is the longest time for which no tokens are requested again after loaders had
-	// no room. Requests that arrive in that time are refused at once.
+	// maxRequestDelay is the longest time for which no tokens are requested again after
+	// loaders had no room. Requests that arrive in that time are refused at once.
 	maxRequestDelay = 250 * time.Millisecond
 	// atLimitPeriod is how long after a refusal an account counts as being at its bound.
 	// Requests do not wait in that time, since they would take the tokens of requests that
@@ -226,7 +226,7 @@
 	g.waitingCount--
 }
 
-// noShareHeld reports whether neither this router nor a loader that it can ask holds a
+// noShareHeld reports whether neither this router nor a loader that it can reach holds a
 // share and this is temporary.
 func (g *Gate) noShareHeld(now core.Time, a *account) bool {
 	if slices.ContainsFunc(a.refusals, func(r refusal) bool { return r.share > 0 }) {
--- a/internal/quota/ask.go
+++ b/internal/quota/ask.go
@@ -199,8 +199,9 @@
 	return cost, max(0, ahead)
 }
 
-// bestFor returns the loader to request an account's tokens from: of those that have not refused
-// in this round, the one with the highest known level. It returns nil if there is none.
+// bestFor returns the loader to request an account's tokens from: of those that have not
+// refused in this round, the one with the highest known level. It returns nil if there is
+// none.
 func (g *Gate) bestFor(now core.Time, a *account) *link {
 	var best *link
 	most := 0.0
--- a/internal/registry/reader.go
+++ b/internal/registry/reader.go
@@ -81,7 +81,7 @@
 // ReadWhole records a full read as of a position.
 //
 // It rejects an answer from before a restore of the store: applied after the first one of
-// the newer era, it would bring back entries that this one has shown to be gone.
+// the newer era, it would restore entries that this one has shown to be removed.
 func (r *Reader) ReadWhole(now core.Time, at core.StorePosition) Reading {
 	if !r.anyEra && at.Era < r.known.Era {
 		return Stale
--- a/internal/registry/reader_test.go
+++ b/internal/registry/reader_test.go
@@ -225,7 +225,7 @@
 }
 
 // A router still in the old era, with a higher revision, sends the changes it read, or an
-// earlier answer was long delayed. Applied, they would hide later writes and bring back
+// earlier answer was long delayed. Applied, they would hide later writes and restore
 // removed entries.
 func TestOlderEraIsIgnored(t *testing.T) {
 	r, now := NewReader(time.Second, 1), core.Time(time.Hour)
--- a/internal/router/background.go
+++ b/internal/router/background.go
@@ -55,7 +55,7 @@
 
 // startingUp reports whether the service's first requests arrived a moment ago.
 //
-// It guards against filling engines with models that nobody calls when a fleet and all its
+// It guards against filling engines with models without requests when a fleet and all its
 // callers return: each such load keeps an engine from loading a model that callers wait
 // for, for the time of a load.
 func (s *service) startingUp(now core.Time) bool {
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -18,7 +18,7 @@
 // add keys, and a caller may use a new key at once, before this router has read the
 // configuration that contains it. Therefore an unknown key is refused only after a read of
 // the platform's store that began after the request arrived; until then the request is
-// held. If the store can't be read, the caller is told to retry later. Callers without a
+// held. If the store can't be read, the answer is to retry later. Callers without a
 // key are treated in the same way: the route may have become public.
 
 const (
--- a/internal/router/caller_test.go
+++ b/internal/router/caller_test.go
@@ -137,7 +137,7 @@
 
 // The store is unavailable, for all routers or for this one alone, and a caller uses an
 // unknown key. Whether the key is new is unknown: a final refusal may be wrong, so that the
-// caller must be told to retry later; and at once, as no read will succeed.
+// answer must be to retry later; and at once, as no read will succeed.
 func TestUnknownKeyWithoutAStore(t *testing.T) {
 	w := newAccountsFixture(t)
 	w.step(StoreState{Reachable: false})
@@ -149,8 +149,8 @@
 }
 
 // The store refuses this router only, which receives news of the others' reads. A caller
-// with an unknown key must be told at once to retry later, as no read of this router
-// succeeds: each would cost the store a call, five times a second.
+// with an unknown key must be answered at once that it should retry later, as no read of
+// this router succeeds: each would cost the store a call, five times a second.
 func TestNoReadsWhereTheStoreRefuses(t *testing.T) {
 	w := newAccountsFixture(t)
 	w.step(StoreState{Reachable: false})
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -14,8 +14,8 @@
 // request.
 
 const (
-	// requestConfigAfter is how long the router waits for its own read of an announced version,
-	// which takes some ms if the store answers.
+	// requestConfigAfter is how long the router waits for its own read of an announced
+	// version, which takes some ms if the store answers.
 	requestConfigAfter = 300 * time.Millisecond
 	// configRequestInterval is the pause between two requests to loaders: several fit into the
 	// shortest time within which a configuration must be in force.
@@ -61,8 +61,9 @@
 	r.requestConfig()
 }
 
-// requestConfig requests from loaders a version that was announced and is not in force: immediately
-// if the store does not answer this router, otherwise after the time for a read of its own.
+// requestConfig requests from loaders a version that was announced and is not in force:
+// immediately if the store does not answer this router, otherwise after the time for a read
+// of its own.
 func (r *Router) requestConfig() {
 	h := &r.announced
 	if !r.configPending() || r.now < h.nextRequest {
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -34,8 +34,8 @@
 // sendDemands sends each loader its Demand if it has changed.
 //
 // Uses are sent only when they changed significantly. Sent at each interval, they were half
-// of a large fleet's messages: 68 routers that each get seven requests a second told 78
-// loaders twice a second that nothing runs.
+// of a large fleet's messages: 68 routers that each get seven requests a second reported
+// to 78 loaders twice a second that nothing runs.
 func (r *Router) sendDemands() {
 	if r.config == nil {
 		return
--- a/internal/router/effect.go
+++ b/internal/router/effect.go
@@ -115,8 +115,8 @@
 	Digest core.LoadDigest
 }
 
-// RequestConfig requests from loaders a configuration above a version. ConfigRead follows if any
-// router has one.
+// RequestConfig requests from loaders a configuration above a version. ConfigRead follows
+// if any router has one.
 type RequestConfig struct {
 	Loaders []core.HostID
 	Wanted  core.ConfigWanted
--- a/internal/router/home.go
+++ b/internal/router/home.go
@@ -125,8 +125,7 @@
 // heldReadyIn corrects a loader's prediction for a model that is being loaded, as of a
 // report of the given age, for what only a router can see: how many engines load from the
 // weight store. Without the correction, a load that shares the store with two others was
-// predicted to take a third of its time, and its callers waited in vain until they
-// cancelled.
+// predicted to take a third of its time, and its callers waited until they cancelled.
 func (r *Router) heldReadyIn(service string, m *core.HeldModel, age time.Duration) time.Duration {
 	left := max(0, m.ReadyIn-age)
 	switch m.State {
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -32,7 +32,7 @@
 }
 
 // A charge is sent, and the server's answer is lost. The user must not be charged twice,
-// nor be told that the charge did not run.
+// nor receive the answer that the charge did not run.
 func TestLostAnswerOfNonIdempotentRequest(t *testing.T) {
 	w := newFixture(t)
 	w.servers(plainService, 3)
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -121,7 +121,7 @@
 }
 
 // A permit is refused. Another server must take the request; if there is none, its caller
-// must be told at once when there will be room, and further requests until then must be
+// must be informed at once when there will be room, and further requests until then must be
 // refused without asking the loader.
 func TestRequestWithoutAPermitGoesElsewhereOrIsRefused(t *testing.T) {
 	w := newLimitedFixture(t, 2, 2)
@@ -324,7 +324,7 @@
 
 // A server no longer names a limit, but another server is as good and gets all requests:
 // without an answer the end of the limit is not noticed, and the server counts as limited
-// for good. One request in ten seconds must go there nevertheless.
+// permanently. One request in ten seconds must go there nevertheless.
 func TestUnconfirmedLimitIsProbed(t *testing.T) {
 	w := newLimitedFixture(t, 2, 2)
 	w.router.backends["s0"].latency, w.router.backends["s1"].latency = 20*time.Millisecond, 10*time.Millisecond
--- a/internal/router/spread.go
+++ b/internal/router/spread.go
@@ -104,8 +104,8 @@
 
 // need returns how many copies a model should have, computed at most once in planInterval,
 // since it is called for each engine that has the model. The number of existing copies
-// changes with each report and is not part of the cached value: when it was, two engines
-// were told at once that their copy was spare.
+// changes with each report and is not part of the cached value: if it were, two engines
+// could be informed at the same time that their copy is spare.
 func (r *Router) need(s *service, model string) int {
 	if n, known := s.needs[model]; known && r.now.Sub(n.at) < planInterval {
 		return n.needed
@@ -160,7 +160,7 @@
 //
 // When a whole fleet returns, rates and load are unknown, engines are empty, and 40 callers
 // wait for the busiest model at one engine, which then reads their prompts for seconds
-// while the others hold models that nobody called.
+// while the others hold models without requests.
 func (r *Router) copiesForBacklog(service, model string) int {
 	waiting := 0
 	for _, b := range r.holders(service, model) {
--- a/internal/router/spread_test.go
+++ b/internal/router/spread_test.go
@@ -108,7 +108,7 @@
 
 // A busy model's load needs five copies. One engine has it, one a copy on disk; further
 // ones need the weight store, which serves one load in 13 s. Guards against requesting it
-// at all of them at once: they counted as loading for good, and the disk copy at an engine
+// at all of them at once: they counted as loading permanently, and the disk copy at an engine
 // that became free was never used. One copy must be requested from the store, and it must
 // get its permit before a rare model that few requests wait for.
 func TestCopiesThatWaitForTheStoreDoNotCount(t *testing.T) {
@@ -156,7 +156,7 @@
 
 // A whole fleet returns after a loss of power. Engines are empty, rates are unknown, and 40
 // callers wait for one model. Loaded at one engine only, the engine read their prompts for
-// four seconds, while the other engines held models that nobody had called. Further engines
+// four seconds, while the other engines held models without requests. Further engines
 // must load it at once, and none ahead of demand.
 func TestReturningCallersGetSeveralEngines(t *testing.T) {
 	w := newFixture(t)
--- a/internal/router/stop_test.go
+++ b/internal/router/stop_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request waits for a model that takes long to load while its router gets SIGTERM. Guards
-// against a connection that closes without an answer: the caller must be told, in time,
+// against a connection that closes without an answer: the caller must be informed, in time,
 // that the request did not run and when to retry.
 func TestStopAnswersWaitingRequests(t *testing.T) {
 	w := newFixture(t)
--- a/internal/router/wait.go
+++ b/internal/router/wait.go
@@ -292,7 +292,7 @@
 }
 
 // refuseLate refuses the requests whose deadline is before the first event, which is
-// predicted after eta. Held longer, each would wait in vain, and its caller could not go
+// predicted after eta. Held longer, each would only time out, and its caller could not retry
 // elsewhere.
 func (r *Router) refuseLate(w *wait, eta time.Duration) {
 	for _, req := range slices.Clone(w.requests) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// Guards against a request that runs although its caller was told that it did not:
+// Guards against a request that runs although its caller was informed that it did not:
 // the entry loses its connection, resumes on a new one and receives NotStarted, and
 // then the agent reads the Start that is still buffered on the old connection.
 func TestReplacedConnectionIsNotRead(t *testing.T) {
