--- a/internal/bench/quota/fleet.go
+++ b/internal/bench/quota/fleet.go
@@ -43,8 +43,8 @@
 	loaders  []*loaderProcess
 	accounts []*account
 	bounds   quota.Bounds
-	// asked counts the requests. It is the key of the latest one.
-	asked uint64
+	// requested counts the requests. It is the key of the latest one.
+	requested uint64
 	// messages are in flight.
 	messages []inFlight
 	cost     cost
@@ -323,10 +323,10 @@
 // queued.
 func (f *fleet) admit(r *routerProcess, w waiter) {
 	f.cost.decisions++
-	f.asked++
-	switch d := r.gate.Admit(f.now, f.asked, w.account.name, w.cost); d.Outcome {
+	f.requested++
+	switch d := r.gate.Admit(f.now, f.requested, w.account.name, w.cost); d.Outcome {
 	case quota.Queued:
-		r.waiting[f.asked] = w
+		r.waiting[f.requested] = w
 	default:
 		w.record(f.now, d.Outcome == quota.Admitted)
 	}
--- a/internal/bench/quota/record.go
+++ b/internal/bench/quota/record.go
@@ -15,14 +15,14 @@
 	began core.Time
 	// used is the admitted cost in each interval.
 	used []float64
-	// asked counts all requests, idealAdmitted those that one exact token bucket would
-	// admit, refused those of the latter that were refused. askedSum and admitted are
+	// requested counts all requests, idealAdmitted those that one exact token bucket would
+	// admit, refused those of the latter that were refused. requestedSum and admitted are
 	// sums of costs.
-	asked, idealAdmitted, refused int
-	askedSum, admitted            float64
-	// markUsed and markAsked are the sums of costs since markAt.
-	markUsed, markAsked float64
-	markAt              core.Time
+	requested, idealAdmitted, refused int
+	requestedSum, admitted            float64
+	// markUsed and markRequested are the sums of costs since markAt.
+	markUsed, markRequested float64
+	markAt                  core.Time
 }
 
 func (r *record) add(now core.Time, cost float64, admitted, idealAdmitted bool) {
@@ -33,9 +33,9 @@
 	for len(r.used) <= i {
 		r.used = append(r.used, 0)
 	}
-	r.asked++
-	r.askedSum += cost
-	r.markAsked += cost
+	r.requested++
+	r.requestedSum += cost
+	r.markRequested += cost
 	if idealAdmitted {
 		r.idealAdmitted++
 	}
--- a/internal/bench/quota/script.go
+++ b/internal/bench/quota/script.go
@@ -261,7 +261,7 @@
 	seconds := f.now.Sub(began).Seconds()
 	for _, a := range f.accounts {
 		out.Worst = max(out.Worst, a.record.worstWindow(f.bounds, a.limit, a.record.began))
-		if a.record.askedSum <= a.limit.Rate*seconds {
+		if a.record.requestedSum <= a.limit.Rate*seconds {
 			idealAdmitted += a.record.idealAdmitted
 			refused += a.record.refused
 		}
--- a/internal/router/caller.go
+++ b/internal/router/caller.go
@@ -52,8 +52,8 @@
 	// held is sorted, oldest first.
 	held []heldRequest
 	// confirmedAt is when the last read began that found the configuration in force to be
-	// the newest. askedAt is when a read was last requested.
-	confirmedAt, askedAt core.Time
+	// the newest. readRequestedAt is when a read was last requested.
+	confirmedAt, readRequestedAt core.Time
 }
 
 func newCallers() callers {
@@ -120,8 +120,8 @@
 // requestStoreRead requests a read of the store, unless one was requested within
 // confirmPause.
 func (r *Router) requestStoreRead() {
-	if r.now.Sub(r.callers.askedAt) >= confirmPause {
-		r.callers.askedAt = r.now
+	if r.now.Sub(r.callers.readRequestedAt) >= confirmPause {
+		r.callers.readRequestedAt = r.now
 		r.emit(ReadStore{})
 	}
 }
--- a/internal/router/coordinate.go
+++ b/internal/router/coordinate.go
@@ -153,9 +153,9 @@
 		if b.unlistedAt != 0 {
 			continue
 		}
-		running, asking := storeLoadsIn(r.holdings(b))
+		running, requested := storeLoadsIn(r.holdings(b))
 		active += running
-		waiting += asking
+		waiting += requested
 	}
 	return active, waiting
 }
--- a/internal/router/demand_test.go
+++ b/internal/router/demand_test.go
@@ -112,7 +112,7 @@
 	use := func(model string, rate float64) core.Use { return core.Use{Model: model, Rate: rate} }
 	tests := []struct {
 		name      string
-		told, now []core.Use
+		sent, now []core.Use
 		same      bool
 	}{
 		{"faded and left out", []core.Use{use("a", 0.1), use("b", 0.01)}, []core.Use{use("a", 0.1)}, true},
@@ -122,7 +122,7 @@
 		{"other copies", []core.Use{{Model: "a", Copies: 2}}, []core.Use{{Model: "a", Copies: 3}}, false},
 	}
 	for _, test := range tests {
-		if same := sameUses(test.told, test.now, 0); same != test.same {
+		if same := sameUses(test.sent, test.now, 0); same != test.same {
 			t.Errorf("%s: same is %t", test.name, same)
 		}
 	}
--- a/internal/router/ending.go
+++ b/internal/router/ending.go
@@ -93,7 +93,7 @@
 			r.endAtStop(req)
 		case req.backend == nil && !r.endsInTime(req, 0):
 			r.refuseAtStop(req)
-		case req.asking != nil && r.now.Sub(req.askedAt) >= limit.PermitTimeout:
+		case req.permitServer != nil && r.now.Sub(req.permitRequestedAt) >= limit.PermitTimeout:
 			r.permitTimedOut(req)
 		case req.awaitingQuota && r.now >= req.firstEventDeadline:
 			r.giveUp(req, code.DeadlineUnmet, "no loader told in time whether its account has room")
--- a/internal/router/permit.go
+++ b/internal/router/permit.go
@@ -52,7 +52,7 @@
 
 func (r *Router) requestPermit(req *request, b *backend, limiting *loader, spare bool) {
 	r.leaveWait(req)
-	req.asking, req.askedAt = b, r.now
+	req.permitServer, req.permitRequestedAt = b, r.now
 	ask := r.limitMessage(b)
 	ask.RequestID, ask.Spare = uint64(req.key), spare
 	r.emit(SendLimitRequest{Loader: limiting.name, Request: ask})
@@ -62,11 +62,11 @@
 // request has ended meanwhile, the permit remains unused.
 func (r *Router) permitAnswered(b *backend, answer core.LimitReply) {
 	req := r.requests[Key(answer.RequestID)]
-	if req == nil || req.asking != b {
+	if req == nil || req.permitServer != b {
 		r.countPermit(b, "unused")
 		return
 	}
-	req.asking = nil
+	req.permitServer = nil
 	switch {
 	case !answer.Granted:
 		b.limit.gate.RecordRefusal(r.now, answer.Room, answer.Spare)
@@ -86,8 +86,8 @@
 // permitTimedOut continues with a request whose permit request was not answered: with this
 // router's own share of the limit, or at another server.
 func (r *Router) permitTimedOut(req *request) {
-	b := req.asking
-	req.asking = nil
+	b := req.permitServer
+	req.permitServer = nil
 	b.limit.gate.RecordTimeout(r.now)
 	r.countPermit(b, "unanswered")
 	r.log(SingleRequest, "permit request not answered in time by the loader", req.attrs("instance", b.Instance)...)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -91,10 +91,10 @@
 	// not run it.
 	mayHaveRun bool
 	waiting    *wait
-	// asking is the server for which a permit was requested, at askedAt. granted is the
-	// server for which a permit was granted.
-	asking, granted *backend
-	askedAt         core.Time
+	// permitServer is the server for which a permit was requested, at permitRequestedAt.
+	// granted is the server for which a permit was granted.
+	permitServer, granted *backend
+	permitRequestedAt     core.Time
 	// waited is how long the request waited for its model, first the time to its first
 	// answer or event. Both count from its arrival.
 	waited, first time.Duration
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -13,10 +13,10 @@
 )
 
 // answerLimited delivers the answer of a request's server, with a report of its limit.
-func (w *fixture) answerLimited(key Key, told fleet.ReportedLimit) {
+func (w *fixture) answerLimited(key Key, announced fleet.ReportedLimit) {
 	w.t.Helper()
 	send := w.lastSend(key)
-	w.step(Answered{Key: key, Attempt: send.Attempt, Answer: fleet.Answer{Status: 200, Limit: told}})
+	w.step(Answered{Key: key, Attempt: send.Attempt, Answer: fleet.Answer{Status: 200, Limit: announced}})
 	w.step(Done{Key: key, Attempt: send.Attempt})
 }
 
