--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -42,7 +42,7 @@
 	slow.Slots++
 	news := w.router.ChangedEntries(map[string]fleet.Backend{"s0": same, "s1": slow, "s2": w.server(plainService, 2)})
 	if len(news) != 2 || news[0].Instance != "s1" || news[1].Instance != "s2" {
-		t.Errorf("told %+v, want s1 and s2", news)
+		t.Errorf("changed %+v, want s1 and s2", news)
 	}
 }
 
--- a/internal/router/poison_test.go
+++ b/internal/router/poison_test.go
@@ -267,7 +267,7 @@
 	w.lastSend(w.callWithFingerprint(poisonWork, "quick", prompt("m1")))
 	last := w.published[len(w.published)-1]
 	if last.Name != w.published[0].Name || len(last.News.Cleared) != 1 || len(w.relayed) != 1 || len(w.relayed[0].News.Cleared) != 1 {
-		t.Errorf("published %+v, told %v", last, w.relayed)
+		t.Errorf("published %+v, relayed %v", last, w.relayed)
 	}
 }
 
@@ -279,7 +279,7 @@
 	w.closeConnection(key)
 	w.step(BackendsChanged{Removed: map[string]bool{w.lastSend(key).Instance: true}})
 	if len(w.relayed) != 0 || len(w.published) != 1 || len(w.published[0].News.Ends) != 1 {
-		t.Errorf("told %v, published %+v", w.relayed, w.published)
+		t.Errorf("relayed %v, published %+v", w.relayed, w.published)
 	}
 }
 
--- a/internal/router/serverlimit_test.go
+++ b/internal/router/serverlimit_test.go
@@ -92,7 +92,7 @@
 func (w *fixture) lastPermitRequest() core.LimitRequest {
 	w.t.Helper()
 	if len(w.limitRequests) == 0 || w.limitRequests[len(w.limitRequests)-1].Request.RequestID == 0 {
-		w.t.Fatalf("nothing was asked: %+v", w.limitRequests)
+		w.t.Fatalf("no permit was requested: %+v", w.limitRequests)
 	}
 	return w.limitRequests[len(w.limitRequests)-1].Request
 }
