--- a/internal/bench/policy/measure.go
+++ b/internal/bench/policy/measure.go
@@ -99,9 +99,9 @@
 
 // row sums up the run.
 func (m *watch) row(name string) Row {
-	r := Row{Name: name, Violations: m.world.Referee.Violations, Loads: m.world.Referee.Loads, RefusalCodes: map[code.Code]int{}}
+	r := Row{Name: name, Violations: m.world.Checker.Violations, Loads: m.world.Checker.Loads, RefusalCodes: map[code.Code]int{}}
 	r.StoreReads, r.StoreBusiest = m.world.Store.Loads, m.world.Store.Busiest
-	r.IdleHours = m.world.Referee.IdleTime.Hours()
+	r.IdleHours = m.world.Checker.IdleTime.Hours()
 	var waits, interactive, all, floors, storeFloors []time.Duration
 	for _, s := range m.samples {
 		switch o := s.outcome; {
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -42,7 +42,7 @@
 // due is when the answer has to be there. A request that reached its entry
 // during a pause is seen, and its time counted, only after it.
 func (o *Outcome) due() core.Time {
-	if woke := o.entry.wokeAt; o.Arrived < woke {
+	if woke := o.entry.resumedAt; o.Arrived < woke {
 		return woke.Add(o.Deadline.Sub(o.Arrived))
 	}
 	return o.Deadline
@@ -65,7 +65,7 @@
 		Cold: !w.anyLoaded(request.Target), body: request.Body,
 		entry: p, entryIncarnation: p.Incarnation,
 	}
-	w.Referee.Outcomes = append(w.Referee.Outcomes, o)
+	w.Checker.Outcomes = append(w.Checker.Outcomes, o)
 	if !p.alive {
 		o.Ended, o.Code = w.now, code.PeerLost
 		return o
@@ -106,7 +106,7 @@
 
 // respond plays the caller's side of an answer.
 func (p *Process) respond(effect core.Effect) {
-	r := p.world.Referee
+	r := p.world.Checker
 	switch e := effect.(type) {
 	case core.RespondData:
 		o := p.outcomes[e.ID]
@@ -114,13 +114,13 @@
 			return
 		}
 		if o == nil || o.Ended != 0 {
-			r.Violate("data for request %s after its end", e.ID)
+			r.ReportViolation("data for request %s after its end", e.ID)
 			return
 		}
 		if o.FirstToken == 0 {
 			o.FirstToken = p.world.now
 		}
-		r.compare(o, e.Payload)
+		r.checkPayload(o, e.Payload)
 		p.post(core.CallerTook{ID: e.ID, Frames: 1})
 	case core.RespondEnd:
 		o := p.outcomes[e.ID]
@@ -128,20 +128,20 @@
 			return
 		}
 		if o == nil || o.Ended != 0 {
-			r.Violate("request %s ended twice", e.ID)
+			r.ReportViolation("request %s ended twice", e.ID)
 			return
 		}
 		o.Ended, o.Code, o.RetryAfter = p.world.now, e.Code, e.RetryAfter
-		r.judge(o)
+		r.checkOutcome(o)
 	}
 }
 
 // compare checks a piece of an answer against the one that the request should
 // get: another caller's, a repeated or a missing piece shows.
-func (r *Referee) compare(o *Outcome, payload []byte) {
+func (r *Checker) checkPayload(o *Outcome, payload []byte) {
 	for _, b := range payload {
 		if o.Tokens >= o.Want || b != token(o.body, o.Tokens) {
-			r.Violate("request %s got a wrong piece at %d of %d", o.ID, o.Tokens, o.Want)
+			r.ReportViolation("request %s got a wrong piece at %d of %d", o.ID, o.Tokens, o.Want)
 			return
 		}
 		o.Tokens++
--- a/internal/harness/referee.go
+++ b/internal/harness/checker.go
@@ -17,15 +17,15 @@
 
 // writeSettles is how long a write may be under way that was decided before a
 // new configuration came into force.
-const writeSettles = 2 * time.Second
+const writeSettleTime = 2 * time.Second
 
-// Referee watches the fakes and notes every broken promise.
-type Referee struct {
+// Checker watches the fakes and notes every broken promise.
+type Checker struct {
 	Violations []string
 	Outcomes   []*Outcome
 	Loads      int
 	// LoadsOf counts loads by key.
-	LoadsOf map[string]int
+	LoadsByKey map[string]int
 	// IdleTime is accelerator time during which a loaded model ran nothing,
 	// weighted by its share of the accelerators; LoadedTime is all of it.
 	IdleTime, LoadedTime time.Duration
@@ -35,27 +35,27 @@
 	// number of replicas that may be loaded by it and the configuration.
 	slots   map[core.SlotID]core.Slot
 	highest map[string]uint64
-	decided map[string]int
+	allowed map[string]int
 	limits  map[string]int
 	// unsettled is when some process last had an older configuration.
-	unsettled core.Time
+	lastOutdated core.Time
 	// stale is set when something changed that check looks at.
-	stale bool
+	needsCheck bool
 }
 
-func newReferee() *Referee {
-	return &Referee{
-		LoadsOf: map[string]int{}, runs: map[core.RequestID]int{},
+func newChecker() *Checker {
+	return &Checker{
+		LoadsByKey: map[string]int{}, runs: map[core.RequestID]int{},
 		slots: map[core.SlotID]core.Slot{}, highest: map[string]uint64{},
-		decided: map[string]int{}, limits: map[string]int{},
+		allowed: map[string]int{}, limits: map[string]int{},
 	}
 }
 
 // Ran tells whether a request ran on an engine.
-func (r *Referee) Ran(id core.RequestID) bool { return r.runs[id] > 0 }
+func (r *Checker) Ran(id core.RequestID) bool { return r.runs[id] > 0 }
 
 // Violate notes a broken promise.
-func (r *Referee) Violate(format string, args ...any) {
+func (r *Checker) ReportViolation(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
@@ -66,8 +66,8 @@
 
 // decide takes a configuration that was accepted. A limit that is lowered
 // stands until the slots above it are gone; see check.
-func (r *Referee) decide(s *api.Snapshot) {
-	r.stale = true
+func (r *Checker) configAccepted(s *api.Snapshot) {
+	r.needsCheck = true
 	clear(r.limits)
 	for name, m := range s.Models {
 		r.limits[name] = m.Spec.Replicas.Max
@@ -76,7 +76,7 @@
 		r.limits[name] = a.Spec.Replicas.Max
 	}
 	for name, limit := range r.limits {
-		r.decided[name] = max(r.decided[name], limit)
+		r.allowed[name] = max(r.allowed[name], limit)
 	}
 }
 
@@ -84,11 +84,11 @@
 // fencing number as long as its owner; a new owner's, or one given after a
 // release, is above all that the model ever had, since engines keep one number
 // for each checkpoint.
-func (r *Referee) slotTable(chunk int, value []byte) {
-	r.stale = true
+func (r *Checker) slotTableWritten(chunk int, value []byte) {
+	r.needsCheck = true
 	var table core.SlotTable
 	if err := core.DecodeValue(value, &table); err != nil {
-		r.Violate("slot table not readable: %v", err)
+		r.ReportViolation("slot table not readable: %v", err)
 		return
 	}
 	before := maps.Clone(r.highest)
@@ -97,7 +97,7 @@
 		moved := !known || old.Owner != s.Owner || old.Incarnation != s.Incarnation
 		changed := moved || s.Generation != old.Generation
 		if changed && s.Generation <= before[s.ID.Model] {
-			r.Violate("slot %v goes from %+v to %+v, highest generation %d", s.ID, old, s, before[s.ID.Model])
+			r.ReportViolation("slot %v goes from %+v to %+v, highest generation %d", s.ID, old, s, before[s.ID.Model])
 		}
 		r.highest[s.ID.Model] = max(r.highest[s.ID.Model], s.Generation)
 	}
@@ -112,12 +112,12 @@
 }
 
 // loadBegins checks that the host owns a slot of the model by the table.
-func (r *Referee) loadBegins(e *Engine, o core.Order) {
-	r.stale = true
+func (r *Checker) loadStarted(e *Engine, o core.Order) {
+	r.needsCheck = true
 	r.Loads++
-	r.LoadsOf[o.Key]++
+	r.LoadsByKey[o.Key]++
 	if model := nameOf(baseOf(o)); !r.owns(e.owner.Host.ID, model) {
-		r.Violate("%s loads %s without a slot, at %v", e.owner.Host.ID, o.Key, time.Duration(e.world.now))
+		r.ReportViolation("%s loads %s without a slot, at %v", e.owner.Host.ID, o.Key, time.Duration(e.world.now))
 	}
 }
 
@@ -128,7 +128,7 @@
 	return o.Key
 }
 
-func (r *Referee) owns(host core.HostID, model string) bool {
+func (r *Checker) owns(host core.HostID, model string) bool {
 	for id, s := range r.slots {
 		if id.Model == model && s.Owner == host {
 			return true
@@ -139,31 +139,31 @@
 
 // check compares loaded replicas with what was decided. Until a lowered limit
 // is reached, the higher one stands.
-func (r *Referee) check(w *World) {
-	if !r.stale || w.snapshot == nil {
+func (r *Checker) check(w *World) {
+	if !r.needsCheck || w.snapshot == nil {
 		return
 	}
-	r.stale = false
+	r.needsCheck = false
 	if !w.configuredEverywhere() {
-		r.unsettled = w.now
+		r.lastOutdated = w.now
 	}
-	settled := w.now.Sub(r.unsettled) > writeSettles
+	settled := w.now.Sub(r.lastOutdated) > writeSettleTime
 	loaded, slots := w.loadedReplicas(), map[string]int{}
 	for id := range r.slots {
 		slots[id.Model]++
 	}
-	for _, name := range core.SortedKeys(r.decided) {
-		if loaded[name] > r.decided[name] {
-			r.Violate("%d replicas of %s loaded, %d decided, at %v", loaded[name], name, r.decided[name], time.Duration(w.now))
+	for _, name := range core.SortedKeys(r.allowed) {
+		if loaded[name] > r.allowed[name] {
+			r.ReportViolation("%d replicas of %s loaded, %d decided, at %v", loaded[name], name, r.allowed[name], time.Duration(w.now))
 		}
-		if slots[name] > r.decided[name] {
-			r.Violate("%d slots of %s in the table, %d decided, at %v", slots[name], name, r.decided[name], time.Duration(w.now))
+		if slots[name] > r.allowed[name] {
+			r.ReportViolation("%d slots of %s in the table, %d decided, at %v", slots[name], name, r.allowed[name], time.Duration(w.now))
 		}
 		limit := r.limits[name]
 		if settled && loaded[name] <= limit && slots[name] <= limit {
-			r.decided[name] = limit
+			r.allowed[name] = limit
 		}
-		r.stale = r.stale || r.decided[name] > limit
+		r.needsCheck = r.needsCheck || r.allowed[name] > limit
 	}
 }
 
@@ -192,10 +192,10 @@
 	return true
 }
 
-func (r *Referee) ran(attempt core.AttemptID) { r.runs[attempt.Request]++ }
+func (r *Checker) runStarted(attempt core.AttemptID) { r.runs[attempt.Request]++ }
 
 // idle adds the time an item was loaded when it goes.
-func (r *Referee) idle(e *Engine, it *item, now core.Time) {
+func (r *Checker) recordIdle(e *Engine, it *item, now core.Time) {
 	if it.Base != "" {
 		return
 	}
@@ -209,43 +209,43 @@
 }
 
 // judge checks a finished request against what the engines saw.
-func (r *Referee) judge(o *Outcome) {
+func (r *Checker) checkOutcome(o *Outcome) {
 	runs := r.runs[o.ID]
 	switch {
 	case o.Code == code.OK && o.Tokens != o.Want:
-		r.Violate("request %s got %d of %d tokens as a whole answer", o.ID, o.Tokens, o.Want)
+		r.ReportViolation("request %s got %d of %d tokens as a whole answer", o.ID, o.Tokens, o.Want)
 	case o.Code.NotRun() && runs > 0:
-		r.Violate("request %s refused as not run (%v) after %d runs", o.ID, o.Code, runs)
+		r.ReportViolation("request %s refused as not run (%v) after %d runs", o.ID, o.Code, runs)
 	}
 	if late := o.Ended.Sub(o.due()); late > answerSlack {
-		r.Violate("request %s answered %v after its deadline, with %v", o.ID, late, o.Code)
+		r.ReportViolation("request %s answered %v after its deadline, with %v", o.ID, late, o.Code)
 	}
 }
 
 // Finish checks what only shows at the end: requests without any answer at
 // processes that still live, and runs that came after a refusal.
 func (w *World) Finish() {
-	for _, o := range w.Referee.Outcomes {
-		runs, p := w.Referee.runs[o.ID], o.entry
+	for _, o := range w.Checker.Outcomes {
+		runs, p := w.Checker.runs[o.ID], o.entry
 		overdue := w.now.Sub(o.due()) > answerSlack
 		if o.Ended == 0 && overdue && p.alive && !p.paused && p.Incarnation == o.entryIncarnation {
-			w.Referee.Violate("request %s to %v was never answered", o.ID, o.Target)
+			w.Checker.ReportViolation("request %s to %v was never answered", o.ID, o.Target)
 		}
 		if !o.Idempotent && runs > 1 {
-			w.Referee.Violate("request %s ran %d times", o.ID, runs)
+			w.Checker.ReportViolation("request %s ran %d times", o.ID, runs)
 		}
 		if o.Ended != 0 && o.Code.NotRun() && runs > 0 {
-			w.Referee.Violate("request %s ran %d times after %v", o.ID, runs, o.Code)
+			w.Checker.ReportViolation("request %s ran %d times after %v", o.ID, runs, o.Code)
 		}
 	}
 	for _, host := range w.order {
 		if e := w.processes[host].Engine; e != nil {
 			for _, key := range core.SortedKeys(e.items) {
-				w.Referee.idle(e, e.items[key], w.now)
+				w.Checker.recordIdle(e, e.items[key], w.now)
 			}
 		}
 	}
 }
 
 // Runs returns how often a request was handed to a backend server and run.
-func (r *Referee) Runs(id core.RequestID) int { return r.runs[id] }
+func (r *Checker) Runs(id core.RequestID) int { return r.runs[id] }
--- a/internal/harness/differential_test.go
+++ b/internal/harness/differential_test.go
@@ -34,14 +34,14 @@
 // naive is the whole system as one process that loads each model on the first
 // host with room, unloads the least recently used ones for it, runs one
 // request after the other and remembers every key.
-type naive struct {
+type referenceSystem struct {
 	hosts  []map[string]int64
 	recent []string
 	keys   map[string]bool
 	known  map[string]int64
 }
 
-func (n *naive) serve(s sent) answer {
+func (n *referenceSystem) serve(s sent) answer {
 	name, memory := nameOfTarget(s.target), int64(0)
 	if s.target.Service == "" {
 		known := false
@@ -58,7 +58,7 @@
 	return a
 }
 
-func (n *naive) load(name string, memory int64) {
+func (n *referenceSystem) load(name string, memory int64) {
 	for _, host := range n.hosts {
 		if host[name] > 0 {
 			return
@@ -85,8 +85,8 @@
 
 func nameOfTarget(t core.Target) string { return cmp.Or(t.Adapter, t.Model, t.Service) }
 
-func newNaive() *naive {
-	n := &naive{keys: map[string]bool{}, known: map[string]int64{}}
+func newReferenceSystem() *referenceSystem {
+	n := &referenceSystem{keys: map[string]bool{}, known: map[string]int64{}}
 	for range 4 {
 		n.hosts = append(n.hosts, map[string]int64{})
 	}
@@ -104,11 +104,11 @@
 // Without faults and with time enough, placement, single-flight, admission and
 // routing over many processes must not show: the same requests are served,
 // with the same answers, and each key runs once, as by one naive process.
-func TestSameAsNaive(t *testing.T) {
+func TestMatchesReferenceSystem(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		requests := drawRequests(rt)
 		f := newFleet(rt, 1, core.DefaultTimings())
-		n := newNaive()
+		n := newReferenceSystem()
 		var want, got []answer
 		var outcomes []func() answer
 		for i, s := range requests {
@@ -118,7 +118,7 @@
 				ClientAccount: "c", Target: s.target, Timeout: 10 * time.Minute, Key: s.key,
 				Idempotent: i%2 == 0, Method: "POST", Path: "/x",
 			}, s.tokens)
-			outcomes = append(outcomes, func() answer { return answer{o.Code, o.Tokens, f.Referee.Runs(o.ID)} })
+			outcomes = append(outcomes, func() answer { return answer{o.Code, o.Tokens, f.Checker.Runs(o.ID)} })
 		}
 		f.RunFor(11 * time.Minute)
 		for _, outcome := range outcomes {
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -84,7 +84,7 @@
 // Reset empties the engine, as a restart of its process does.
 func (e *Engine) Reset() {
 	e.epoch++
-	e.world.Referee.stale = true
+	e.world.Checker.needsCheck = true
 	e.items, e.used = map[string]*item{}, 0
 	e.cache, e.fences, e.role = cache{}, map[string]uint64{}, core.EngineServing
 	e.running = map[core.AttemptID]*run{}
@@ -105,7 +105,7 @@
 func (e *Engine) do(p *Process, effect core.Effect) {
 	epoch, inc := e.epoch, p.Incarnation
 	post := func(after time.Duration, event core.Event) {
-		e.world.After(after, func() { p.postAs(inc, event) })
+		e.world.After(after, func() { p.postTo(inc, event) })
 	}
 	switch o := effect.(type) {
 	case core.TakeInventory:
@@ -195,11 +195,11 @@
 	}
 	e.used += o.MemoryMiB
 	if e.used > e.MemoryMiB {
-		e.world.Referee.Violate("memory overcommitted at %s by %s: %d of %d MiB", e.owner.Host.ID, o.Key, e.used, e.MemoryMiB)
+		e.world.Checker.ReportViolation("memory overcommitted at %s by %s: %d of %d MiB", e.owner.Host.ID, o.Key, e.used, e.MemoryMiB)
 	}
 	it := &item{mib: o.CheckpointMiB, LoadedItem: core.LoadedItem{Key: o.Key, Base: o.Base, MemoryMiB: o.MemoryMiB, Fence: o.Fence, Busy: true}, since: e.world.now}
 	e.items[o.Key] = it
-	e.world.Referee.loadBegins(e, o)
+	e.world.Checker.loadStarted(e, o)
 	fails := e.failNext > 0
 	size := o.CheckpointMiB
 	if fails {
@@ -264,8 +264,8 @@
 		if e.RAMMiB > 0 && it.mib > 0 {
 			e.cache.memory = put(e.cache.memory, key, it.mib, e.RAMMiB)
 		}
-		e.world.Referee.idle(e, it, e.world.now)
+		e.world.Checker.recordIdle(e, it, e.world.now)
 		delete(e.items, key)
-		e.world.Referee.stale = true
+		e.world.Checker.needsCheck = true
 	}
 }
--- a/internal/harness/evict.go
+++ b/internal/harness/evict.go
@@ -23,7 +23,7 @@
 func (w *World) evict(p *Process, order core.Evict) {
 	inc := p.Incarnation
 	w.evictStep(p, order, w.now.Add(evictLimit), func(after time.Duration, c code.Code) {
-		w.After(after, func() { p.postAs(inc, core.EvictDone{Tag: order.Tag, Code: c}) })
+		w.After(after, func() { p.postTo(inc, core.EvictDone{Tag: order.Tag, Code: c}) })
 	})
 }
 
@@ -37,10 +37,10 @@
 	held, adapters, newest := e.heldOf(order.Model)
 	switch {
 	case len(held) == 0:
-		answer(crossDelay, code.OK)
+		answer(crossZoneDelay, code.OK)
 		return
 	case newest >= order.Fence:
-		answer(crossDelay, code.FencedOut)
+		answer(crossZoneDelay, code.FencedOut)
 		return
 	}
 	for _, it := range held {
--- a/internal/harness/evict_test.go
+++ b/internal/harness/evict_test.go
@@ -11,17 +11,17 @@
 // steward has the engine unload first. Awake, the old process ends.
 func TestAgentPausedWhileLoaded(t *testing.T) {
 	f := newFleet(t, 61, shortTimings())
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	owner := f.owner("m2", 0)
 	incarnation := owner.Incarnation
 	owner.Pause(5 * time.Minute)
-	f.within(ownerBound(f.timings), "slot moved", f.movedFrom("m2", 0, owner.Host.ID))
-	f.serves(modelTarget("m2"))
+	f.waitFor(ownerBound(f.timings), "slot moved", f.movedFrom("m2", 0, owner.Host.ID))
+	f.expectServed(modelTarget("m2"))
 	f.RunFor(5 * time.Minute)
 	if owner.Incarnation == incarnation {
 		t.Error("the fenced process stays, so that its accelerators are lost for good")
 	}
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -30,7 +30,7 @@
 // the engine has unloaded the adapters and then the model.
 func TestAgentDeadWhileEngineStays(t *testing.T) {
 	f := newFleet(t, 62, shortTimings())
-	f.serves(adapterTarget("a0"))
+	f.expectServed(adapterTarget("a0"))
 	owner := f.owner("m0", 0)
 	for i := range uint16(3) {
 		if p := f.owner("m0", i); p.Engine.Loaded("a0@v1") {
@@ -38,13 +38,13 @@
 		}
 	}
 	owner.Kill()
-	f.within(ownerBound(f.timings), "engine emptied", owner.Engine.Empty)
+	f.waitFor(ownerBound(f.timings), "engine emptied", owner.Engine.Empty)
 	f.RunFor(10 * time.Second)
 	for _, s := range f.slots() {
 		if s.ID.Model == "m0" && s.Owner == owner.Host.ID {
 			t.Errorf("slot %v still is with the dead process", s.ID)
 		}
 	}
-	f.serves(adapterTarget("a0"))
+	f.expectServed(adapterTarget("a0"))
 	f.finish()
 }
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -226,7 +226,7 @@
 	return all
 }
 
-func (f *fleet) answered(outcomes ...*harness.Outcome) {
+func (f *fleet) expectAnswered(outcomes ...*harness.Outcome) {
 	f.t.Helper()
 	for _, o := range outcomes {
 		if o.Ended == 0 || o.Code != code.OK || o.Tokens != o.Want {
@@ -270,7 +270,7 @@
 }
 
 // inOffice is the entry that the KV service names as steward, nil if none.
-func (f *fleet) inOffice() *harness.Process {
+func (f *fleet) currentSteward() *harness.Process {
 	var record core.StewardRecord
 	if core.DecodeValue(f.KV.Value(core.KeySteward), &record) != nil {
 		return nil
@@ -281,7 +281,7 @@
 // steward is the entry in office.
 func (f *fleet) steward() *harness.Process {
 	f.t.Helper()
-	p := f.inOffice()
+	p := f.currentSteward()
 	if p == nil {
 		f.t.Fatalf("nobody in office")
 	}
@@ -293,13 +293,13 @@
 	f.t.Helper()
 	f.RunFor(70 * time.Second)
 	f.Finish()
-	for i, v := range f.Referee.Violations {
+	for i, v := range f.Checker.Violations {
 		if i == 10 {
 			break
 		}
 		f.t.Logf("%s", v)
 	}
-	if n := len(f.Referee.Violations); n > 0 {
+	if n := len(f.Checker.Violations); n > 0 {
 		f.t.Fatalf("%d broken promises", n)
 	}
 }
@@ -311,26 +311,26 @@
 func TestColdBurstIsOneLoad(t *testing.T) {
 	f := newFleet(t, 1, core.DefaultTimings())
 	for _, name := range []string{"m0", "m1", "m2", "m3", "m5"} {
-		before := f.Referee.Loads
+		before := f.Checker.Loads
 		all := f.burst(modelTarget(name), 10)
 		f.RunFor(30 * time.Second)
-		f.answered(all...)
-		if loads := f.Referee.Loads - before; loads != 1 {
+		f.expectAnswered(all...)
+		if loads := f.Checker.Loads - before; loads != 1 {
 			t.Errorf("%d loads for a burst on %s, want 1", loads, name)
 		}
 	}
 	for _, name := range []string{"a0", "a1", "a2"} {
-		before := f.Referee.LoadsOf[name+"@v1"]
+		before := f.Checker.LoadsByKey[name+"@v1"]
 		all := f.burst(adapterTarget(name), 10)
 		f.RunFor(30 * time.Second)
-		f.answered(all...)
-		if loads := f.Referee.LoadsOf[name+"@v1"] - before; loads != 1 {
+		f.expectAnswered(all...)
+		if loads := f.Checker.LoadsByKey[name+"@v1"] - before; loads != 1 {
 			t.Errorf("%d loads for a burst on %s, want 1", loads, name)
 		}
 	}
 	all := f.burst(serviceTarget, 10)
 	f.RunFor(10 * time.Second)
-	f.answered(all...)
+	f.expectAnswered(all...)
 	f.finish()
 }
 
--- a/internal/harness/history_test.go
+++ b/internal/harness/history_test.go
@@ -83,7 +83,7 @@
 
 func (h *history) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"":                  func(*rapid.T) { h.judge() },
+		"":                  func(*rapid.T) { h.checkViolations() },
 		"pass":              func(*rapid.T) { h.RunFor(h.duration("time", 20*time.Second)) },
 		"pass briefly":      func(*rapid.T) { h.RunFor(h.duration("time", 20*time.Millisecond)) },
 		"request":           func(*rapid.T) { h.request() },
@@ -112,8 +112,8 @@
 	}
 }
 
-func (h *history) judge() {
-	if v := h.Referee.Violations; len(v) > 0 {
+func (h *history) checkViolations() {
+	if v := h.Checker.Violations; len(v) > 0 {
 		h.rt.Fatalf("%s", v[0])
 	}
 }
@@ -134,18 +134,18 @@
 		p.Engine.LoseAnswers(0)
 	}
 	h.RunFor(longestFault)
-	h.judge()
+	h.checkViolations()
 	for len(h.live()) < 4 {
 		h.addEngine(h.engines)
 		h.engines++
 	}
 	h.RunFor(ownerBound(h.timings))
-	h.judge()
+	h.checkViolations()
 	h.allOwned()
 	for _, name := range []string{"m0", "m1", "m2", "m3", "m5"} {
-		h.serves(modelTarget(name))
+		h.expectServed(modelTarget(name))
 	}
-	h.serves(serviceTarget)
+	h.expectServed(serviceTarget)
 	h.finish()
 }
 
@@ -180,7 +180,7 @@
 }
 
 // absent draws an engine host whose process may go away now.
-func (h *history) absent() *harness.Process {
+func (h *history) drawFaultableHost() *harness.Process {
 	p := h.engine()
 	if h.Now() < h.quietAt[p.Host.ID] || p.Paused() {
 		h.rt.Skip("the host had a fault just now")
@@ -190,7 +190,7 @@
 }
 
 func (h *history) pauseAgent() {
-	p := h.absent()
+	p := h.drawFaultableHost()
 	d := h.duration("pause", longestPause)
 	h.quietAt[p.Host.ID] = h.Now().Add(d + faultPause)
 	p.Pause(d)
@@ -206,13 +206,13 @@
 }
 
 func (h *history) pauseSteward() {
-	if p := h.inOffice(); p != nil {
+	if p := h.currentSteward(); p != nil {
 		p.Pause(h.duration("pause", 100*time.Second))
 	}
 }
 
 func (h *history) killAgent() {
-	p := h.absent()
+	p := h.drawFaultableHost()
 	p.Kill()
 	h.After(h.duration("gap", restartGap), func() {
 		h.revive(p.Host.ID)
--- a/internal/harness/kv.go
+++ b/internal/harness/kv.go
@@ -20,7 +20,7 @@
 	// BytesWritten counts the bytes of accepted values.
 	BytesWritten int
 	down         bool
-	cutOff       map[core.HostID]bool
+	unreachable  map[core.HostID]bool
 	loseAnswers  int
 	watchers     []*Process
 }
@@ -34,7 +34,7 @@
 func newKV(w *World) *KV {
 	return &KV{
 		world: w, values: map[string]record{}, leases: map[int64]core.Time{},
-		Calls: map[string]int{}, cutOff: map[core.HostID]bool{},
+		Calls: map[string]int{}, unreachable: map[core.HostID]bool{},
 	}
 }
 
@@ -42,17 +42,17 @@
 func (k *KV) SetDown(down bool) {
 	k.down = down
 	for _, p := range k.watchers {
-		p.post(core.KVReachable{Up: !down && !k.cutOff[p.Host.ID]})
+		p.post(core.KVReachable{Up: !down && !k.unreachable[p.Host.ID]})
 	}
 	if !down {
 		k.expire()
-		k.catchUp()
+		k.resendAll()
 	}
 }
 
 // CutOff parts one host from the KV service.
 func (k *KV) CutOff(host core.HostID, cut bool) {
-	k.cutOff[host] = cut
+	k.unreachable[host] = cut
 	p := k.world.processes[host]
 	p.post(core.KVReachable{Up: !cut && !k.down})
 	if !cut {
@@ -77,7 +77,7 @@
 	if !known {
 		k.watchers = append(k.watchers, p)
 	}
-	if k.down || k.cutOff[p.Host.ID] {
+	if k.down || k.unreachable[p.Host.ID] {
 		p.post(core.KVReachable{Up: false})
 		return
 	}
@@ -88,27 +88,27 @@
 // resend gives a watcher all current values, and the absence of the steward.
 func (k *KV) resend(p *Process) {
 	for _, key := range core.SortedKeys(k.values) {
-		k.tell(p, key)
+		k.notify(p, key)
 	}
 	if _, ok := k.values[core.KeySteward]; !ok {
-		k.tell(p, core.KeySteward)
+		k.notify(p, core.KeySteward)
 	}
 }
 
-func (k *KV) catchUp() {
+func (k *KV) resendAll() {
 	for _, p := range k.watchers {
 		k.resend(p)
 	}
 }
 
-func (k *KV) tell(p *Process, key string) {
+func (k *KV) notify(p *Process, key string) {
 	if strings.HasPrefix(key, core.KeyChunkPrefix) {
 		return
 	}
 	r, inc := k.values[key], p.Incarnation
 	k.world.After(watchDelay, func() {
-		if !k.down && !k.cutOff[p.Host.ID] {
-			p.postAs(inc, core.KVValue{Key: key, Value: r.value, Revision: r.revision})
+		if !k.down && !k.unreachable[p.Host.ID] {
+			p.postTo(inc, core.KVValue{Key: key, Value: r.value, Revision: r.revision})
 		}
 	})
 }
@@ -121,10 +121,10 @@
 	}
 	if chunk, ok := strings.CutPrefix(key, core.KeySlotsPrefix); ok {
 		number, _ := strconv.Atoi(chunk)
-		k.world.Referee.slotTable(number, r.value)
+		k.world.Checker.slotTableWritten(number, r.value)
 	}
 	for _, p := range k.watchers {
-		k.tell(p, key)
+		k.notify(p, key)
 	}
 }
 
@@ -132,9 +132,9 @@
 func (k *KV) call(p *Process, effect core.Effect) {
 	inc := p.Incarnation
 	answer := func(after time.Duration, r core.KVResult) {
-		k.world.After(after, func() { p.postAs(inc, r) })
+		k.world.After(after, func() { p.postTo(inc, r) })
 	}
-	if k.down || k.cutOff[p.Host.ID] {
+	if k.down || k.unreachable[p.Host.ID] {
 		answer(kvTimeout, core.KVResult{Tag: tagOf(effect), Code: code.KVUnavailable})
 		return
 	}
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -23,9 +23,9 @@
 
 func (w *World) delay(a, b *Process) time.Duration {
 	if a.Host.Zone == b.Host.Zone {
-		return zoneDelay
+		return sameZoneDelay
 	}
-	return crossDelay
+	return crossZoneDelay
 }
 
 // Cut makes the network between two hosts lose everything, silently. A
@@ -55,7 +55,7 @@
 func (w *World) Break(a, b core.HostID) {
 	for _, key := range []linkKey{{a, b}, {b, a}} {
 		if l := w.links[key]; l != nil {
-			w.endSilent(l)
+			w.timeOut(l)
 		}
 	}
 }
@@ -63,18 +63,18 @@
 func (w *World) silence(l *link) {
 	if !l.silent {
 		l.silent = true
-		w.After(silenceTime, func() { w.endSilent(l) })
+		w.After(silenceTimeout, func() { w.timeOut(l) })
 	}
 }
 
 // endSilent is both ends' finding that pings are not answered.
-func (w *World) endSilent(l *link) {
+func (w *World) timeOut(l *link) {
 	if l.closed {
 		return
 	}
 	w.close(l)
-	l.dialler.postAs(l.dialInc, core.PeerDown{Peer: l.key.listener})
-	l.listener.postAs(l.listenInc, core.PeerDown{Peer: l.key.dialler})
+	l.dialler.postTo(l.dialInc, core.PeerDown{Peer: l.key.listener})
+	l.listener.postTo(l.listenInc, core.PeerDown{Peer: l.key.dialler})
 }
 
 // linksOf returns the standing connections of a process.
@@ -91,7 +91,7 @@
 }
 
 // postAs posts to the given incarnation only.
-func (p *Process) postAs(incarnation core.Incarnation, event core.Event) {
+func (p *Process) postTo(incarnation core.Incarnation, event core.Event) {
 	if p.Incarnation == incarnation {
 		p.post(event)
 	}
@@ -100,7 +100,7 @@
 func (w *World) dial(from *Process, to core.HostID) {
 	incarnation := from.Incarnation
 	fail := func(after time.Duration) {
-		w.After(after, func() { from.postAs(incarnation, core.PeerDown{Peer: to}) })
+		w.After(after, func() { from.postTo(incarnation, core.PeerDown{Peer: to}) })
 	}
 	key := linkKey{from.Host.ID, to}
 	if l := w.links[key]; l != nil && !l.closed {
@@ -146,16 +146,16 @@
 	w.close(l)
 	after := l.delay
 	if l.silent {
-		after = silenceTime
+		after = silenceTimeout
 	}
-	w.tellDown(l.listener, l.listenInc, from.Host.ID, after, false)
+	w.reportPeerDown(l.listener, l.listenInc, from.Host.ID, after, false)
 }
 
 // tellDown reports the end of a connection unless a newer one stands by then.
-func (w *World) tellDown(to *Process, incarnation core.Incarnation, peer core.HostID, after time.Duration, planned bool) {
+func (w *World) reportPeerDown(to *Process, incarnation core.Incarnation, peer core.HostID, after time.Duration, planned bool) {
 	w.After(after, func() {
 		if w.links[linkKey{to.Host.ID, peer}] == nil && w.links[linkKey{peer, to.Host.ID}] == nil {
-			to.postAs(incarnation, core.PeerDown{Peer: peer, Planned: planned})
+			to.postTo(incarnation, core.PeerDown{Peer: peer, Planned: planned})
 		}
 	})
 }
@@ -171,13 +171,13 @@
 		switch {
 		case l.silent:
 			w.close(l)
-			w.tellDown(other, inc, p.Host.ID, silenceTime, false)
+			w.reportPeerDown(other, inc, p.Host.ID, silenceTimeout, false)
 		case planned:
 			delete(w.links, l.key)
-			w.tellDown(other, inc, p.Host.ID, max(l.delay, last.Sub(w.now)), true)
+			w.reportPeerDown(other, inc, p.Host.ID, max(l.delay, last.Sub(w.now)), true)
 		default:
 			w.close(l)
-			w.tellDown(other, inc, p.Host.ID, after, false)
+			w.reportPeerDown(other, inc, p.Host.ID, after, false)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	*last = max(*last, w.now.Add(l.delay))
 	w.at(*last, func() {
 		if !l.closed && !l.silent {
-			target.postAs(inc, core.Received{From: from.Host.ID, Message: m})
+			target.postTo(inc, core.Received{From: from.Host.ID, Message: m})
 		}
 	})
 }
--- a/internal/harness/moves_test.go
+++ b/internal/harness/moves_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (f *fleet) within(d time.Duration, what string, condition func() bool) {
+func (f *fleet) waitFor(d time.Duration, what string, condition func() bool) {
 	f.t.Helper()
 	if !f.RunUntil(d, condition) {
 		f.t.Fatalf("not within %v: %s", d, what)
@@ -34,11 +34,11 @@
 }
 
 // serves sends requests for a model to both entries and expects whole answers.
-func (f *fleet) serves(target core.Target) {
+func (f *fleet) expectServed(target core.Target) {
 	f.t.Helper()
 	all := f.burst(target, 2)
 	f.RunFor(40 * time.Second)
-	f.answered(all...)
+	f.expectAnswered(all...)
 }
 
 // A section chief's first call wakes an idle model. The owner decides to load
@@ -51,10 +51,10 @@
 		owner := f.owner(model, 0)
 		owner.PauseAtOrder(3 * time.Minute)
 		f.call("e0", modelTarget(model), 5)
-		f.within(ownerBound(f.timings)+f.timings.Tenure, "slot moved", f.movedFrom(model, 0, owner.Host.ID))
-		f.serves(modelTarget(model))
+		f.waitFor(ownerBound(f.timings)+f.timings.Tenure, "slot moved", f.movedFrom(model, 0, owner.Host.ID))
+		f.expectServed(modelTarget(model))
 		f.RunFor(3 * time.Minute) // the old owner wakes
-		f.serves(modelTarget(model))
+		f.expectServed(modelTarget(model))
 		f.finish()
 	}
 }
@@ -64,15 +64,15 @@
 // owner wakes, its replica serves on.
 func TestOwnerPausedBriefly(t *testing.T) {
 	f := newFleet(t, 3, shortTimings())
-	f.serves(modelTarget("m2"))
-	loads := f.Referee.Loads
+	f.expectServed(modelTarget("m2"))
+	loads := f.Checker.Loads
 	owner := f.owner("m2", 0)
 	owner.Pause(25 * time.Second)
 	f.burst(modelTarget("m2"), 3)
 	f.RunFor(70 * time.Second)
-	f.serves(modelTarget("m2"))
-	if f.Referee.Loads != loads {
-		t.Errorf("%d loads more", f.Referee.Loads-loads)
+	f.expectServed(modelTarget("m2"))
+	if f.Checker.Loads != loads {
+		t.Errorf("%d loads more", f.Checker.Loads-loads)
 	}
 	f.finish()
 }
@@ -81,21 +81,21 @@
 // can ask it or its engine anything, so its slot stays with it until the cut is
 // over. It has unloaded at the end of its tenure, by its own clock, which here
 // runs slow by 200 ppm; nobody can know that, and no second replica is loaded.
-func TestOwnerCutOffGivesUp(t *testing.T) {
+func TestIsolatedOwnerUnloads(t *testing.T) {
 	f := newFleet(t, 4, shortTimings())
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	owner := f.owner("m2", 0)
 	incarnation := owner.Incarnation
 	owner.SetClock(1 - 200e-6)
 	f.Cut("e0", owner.Host.ID, true)
 	f.Cut("e1", owner.Host.ID, true)
-	loads := f.Referee.LoadsOf["m2@v1"]
+	loads := f.Checker.LoadsByKey["m2@v1"]
 	f.RunFor(ownerBound(f.timings))
 	if owner.Engine.Loaded("m2@v1") {
 		t.Error("the cut-off owner kept its replica")
 	}
 	f.RunFor(5 * time.Minute)
-	if f.movedFrom("m2", 0, owner.Host.ID)() || f.Referee.LoadsOf["m2@v1"] != loads {
+	if f.movedFrom("m2", 0, owner.Host.ID)() || f.Checker.LoadsByKey["m2@v1"] != loads {
 		t.Error("the slot moved although nobody could ask the engine")
 	}
 	f.Cut("e0", owner.Host.ID, false)
@@ -104,7 +104,7 @@
 	if owner.Incarnation == incarnation {
 		t.Error("the fenced process stays, so that its accelerators are lost for good")
 	}
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -117,14 +117,14 @@
 	all := f.burst(modelTarget("m5"), 5)
 	f.RunFor(2 * time.Second) // loading
 	f.reclaim(owner.Host.ID)
-	f.within(40*time.Second, "slot moved", f.movedFrom("m5", 0, owner.Host.ID))
+	f.waitFor(40*time.Second, "slot moved", f.movedFrom("m5", 0, owner.Host.ID))
 	f.RunFor(60 * time.Second)
 	for _, o := range all {
 		if o.Ended == 0 {
 			t.Error("a caller got no answer")
 		}
 	}
-	f.serves(modelTarget("m5"))
+	f.expectServed(modelTarget("m5"))
 	f.finish()
 }
 
@@ -133,18 +133,18 @@
 // load would overcommit the engine, an unload would cost a cold start.
 func TestAgentReplacedWhileEngineStays(t *testing.T) {
 	f := newFleet(t, 6, shortTimings())
-	f.serves(modelTarget("m3"))
-	loads := f.Referee.Loads
+	f.expectServed(modelTarget("m3"))
+	loads := f.Checker.Loads
 	owner := f.owner("m3", 0)
 	generation := f.slot("m3", 0).Generation
 	owner.Kill()
 	f.RunFor(time.Second)
 	f.restart(owner.Host.ID)
-	f.within(20*time.Second, "taken over", func() bool { return f.slot("m3", 0).Generation > generation })
+	f.waitFor(20*time.Second, "taken over", func() bool { return f.slot("m3", 0).Generation > generation })
 	f.RunFor(10 * time.Second)
-	f.serves(modelTarget("m3"))
-	if f.Referee.Loads != loads {
-		t.Errorf("%d loads after the restart, want none", f.Referee.Loads-loads)
+	f.expectServed(modelTarget("m3"))
+	if f.Checker.Loads != loads {
+		t.Errorf("%d loads after the restart, want none", f.Checker.Loads-loads)
 	}
 	f.finish()
 }
@@ -159,7 +159,7 @@
 	owner.Kill()
 	f.restart(owner.Host.ID)
 	f.RunFor(30 * time.Second)
-	f.serves(modelTarget("m5"))
+	f.expectServed(modelTarget("m5"))
 	f.finish()
 }
 
@@ -171,7 +171,7 @@
 	owner.Engine.LoseAnswers(2)
 	all := f.burst(modelTarget("m5"), 3)
 	f.RunFor(60 * time.Second)
-	f.answered(all...)
+	f.expectAnswered(all...)
 	f.finish()
 }
 
@@ -182,7 +182,7 @@
 	f.owner("m5", 0).Engine.FailLoads(2)
 	all := f.burst(modelTarget("m5"), 3)
 	f.RunFor(70 * time.Second)
-	f.answered(all...)
+	f.expectAnswered(all...)
 	f.finish()
 }
 
@@ -191,14 +191,14 @@
 func TestLeavingHostHandsOver(t *testing.T) {
 	f := newFleet(t, 10, shortTimings())
 	for _, name := range []string{"m1", "m2", "m3"} {
-		f.serves(modelTarget(name))
+		f.expectServed(modelTarget(name))
 	}
 	leaving := f.owner("m3", 0)
 	long := f.call("e0", modelTarget("m3"), 500) // ten seconds of tokens
 	f.RunFor(2 * time.Second)
 	f.leave(leaving.Host.ID)
-	f.within(40*time.Second, "graceful exit", func() bool { return !leaving.Alive() })
-	f.answered(long)
+	f.waitFor(40*time.Second, "graceful exit", func() bool { return !leaving.Alive() })
+	f.expectAnswered(long)
 	if leaving.Engine.RunsCut != 0 {
 		t.Errorf("%d runs cut", leaving.Engine.RunsCut)
 	}
@@ -207,7 +207,7 @@
 			t.Errorf("%v still names the host that left", s)
 		}
 	}
-	f.serves(modelTarget("m3"))
+	f.expectServed(modelTarget("m3"))
 	f.finish()
 }
 
@@ -221,17 +221,17 @@
 	f.addEngine(0)
 	f.declare(models()...)
 	f.RunFor(20 * time.Second)
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	generation := f.slot("m2", 0).Generation
 	only := f.owner("m2", 0)
 	f.leave(only.Host.ID)
-	f.within(30*time.Second, "exit without a successor", func() bool { return !only.Alive() })
+	f.waitFor(30*time.Second, "exit without a successor", func() bool { return !only.Alive() })
 	f.addEngine(2)
-	f.within(30*time.Second, "slot placed on the new host", f.movedFrom("m2", 0, only.Host.ID))
+	f.waitFor(30*time.Second, "slot placed on the new host", f.movedFrom("m2", 0, only.Host.ID))
 	if next := f.slot("m2", 0).Generation; next <= generation {
 		t.Errorf("generation %d after %d", next, generation)
 	}
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -240,16 +240,16 @@
 // more replicas or memory than decided.
 func TestVersionRoll(t *testing.T) {
 	f := newFleet(t, 12, shortTimings())
-	f.serves(modelTarget("m0"))
-	f.serves(adapterTarget("a1"))
+	f.expectServed(modelTarget("m0"))
+	f.expectServed(adapterTarget("a1"))
 	running := f.call("e1", modelTarget("m0"), 200)
 	f.RunFor(time.Second)
 	f.declare(model("m0", "v2", 8<<10, api.ReplicaLimits{Max: 3}), adapter("a1", "m0", "v2", api.ReplicaLimits{Max: 2}))
 	f.RunFor(2 * time.Second)
 	all := f.burst(adapterTarget("a1"), 4)
 	f.RunFor(time.Minute)
-	f.answered(append(all, running)...)
-	if f.Referee.LoadsOf["m0@v2"] == 0 || f.Referee.LoadsOf["a1@v2"] == 0 {
+	f.expectAnswered(append(all, running)...)
+	if f.Checker.LoadsByKey["m0@v2"] == 0 || f.Checker.LoadsByKey["a1@v2"] == 0 {
 		t.Error("the new version was never loaded")
 	}
 	f.finish()
@@ -260,7 +260,7 @@
 func TestLowerModelLimit(t *testing.T) {
 	f := newFleet(t, 13, shortTimings())
 	f.declare(model("m0", "v1", 8<<10, api.ReplicaLimits{Min: 3, Max: 3}))
-	f.within(30*time.Second, "all loaded", func() bool { return f.replicas("m0") == 3 })
+	f.waitFor(30*time.Second, "all loaded", func() bool { return f.replicas("m0") == 3 })
 	f.declare(model("m0", "v1", 8<<10, api.ReplicaLimits{Max: 1}), adapter("a1", "m0", "v1", api.ReplicaLimits{Max: 1}))
 	f.RunFor(time.Minute)
 	if n := f.replicas("m0"); n > 1 {
@@ -269,7 +269,7 @@
 	if f.slot("m0", 1).Owner != "" || f.slot("m0", 2).Owner != "" {
 		t.Error("slots above the limit are still in the table")
 	}
-	f.serves(modelTarget("m0"))
+	f.expectServed(modelTarget("m0"))
 	f.finish()
 }
 
@@ -278,14 +278,14 @@
 func TestLowerLimitWithVacantSlot(t *testing.T) {
 	f := newFleet(t, 41, shortTimings())
 	f.declare(model("m3", "v1", 12<<10, api.ReplicaLimits{Min: 2, Max: 2}))
-	f.within(30*time.Second, "both loaded", func() bool { return f.replicas("m3") == 2 })
+	f.waitFor(30*time.Second, "both loaded", func() bool { return f.replicas("m3") == 2 })
 	for _, h := range []core.HostID{"h0", "h1", "h2", "h3"} {
 		if h != f.slot("m3", 1).Owner {
 			f.reclaim(h) // m3/0 fits nowhere
 		}
 	}
 	f.call("e0", modelTarget("m3"), 400)
-	f.within(40*time.Second, "m3/0 vacant", func() bool { return f.slot("m3", 0).Owner == "" })
+	f.waitFor(40*time.Second, "m3/0 vacant", func() bool { return f.slot("m3", 0).Owner == "" })
 	f.call("e0", modelTarget("m3"), 2000) // holds m3/1 for a while
 	f.declare(model("m3", "v1", 12<<10, api.ReplicaLimits{Max: 1}))
 	f.addEngine(4)
@@ -301,14 +301,14 @@
 func TestLowerAdapterLimit(t *testing.T) {
 	f := newFleet(t, 14, shortTimings())
 	f.declare(adapter("a1", "m0", "v1", api.ReplicaLimits{Min: 2, Max: 2}))
-	f.within(30*time.Second, "both loaded", func() bool { return f.replicas("a1") == 2 })
+	f.waitFor(30*time.Second, "both loaded", func() bool { return f.replicas("a1") == 2 })
 	f.declare(adapter("a1", "m0", "v1", api.ReplicaLimits{Min: 1, Max: 1}))
 	f.burst(adapterTarget("a1"), 4)
 	f.RunFor(time.Minute)
 	if n := f.replicas("a1"); n > 1 {
 		t.Errorf("%d copies loaded, 1 decided", n)
 	}
-	f.serves(adapterTarget("a1"))
+	f.expectServed(adapterTarget("a1"))
 	f.finish()
 }
 
@@ -334,7 +334,7 @@
 			}
 			return true
 		}
-		f.within(time.Minute, "adapters loaded", all)
+		f.waitFor(time.Minute, "adapters loaded", all)
 		f.declare(limits(change.to))
 		f.RunFor(time.Minute)
 		if !all() {
@@ -365,7 +365,7 @@
 		f.RunFor(2 * time.Second)
 		f.declare(limits(change.to))
 		f.RunFor(time.Minute)
-		f.answered(calls...)
+		f.expectAnswered(calls...)
 		for _, name := range adapters {
 			if n := f.replicas(name); n != 1 {
 				t.Errorf("%v: %d copies of %s after the change", change, n, name)
--- a/internal/harness/outage_test.go
+++ b/internal/harness/outage_test.go
@@ -13,7 +13,7 @@
 func (f *fleet) generations() string { return fmt.Sprint(f.slots()) }
 
 // other is the entry that is not in office.
-func (f *fleet) other() *harness.Process {
+func (f *fleet) standby() *harness.Process {
 	f.t.Helper()
 	if f.steward().Host.ID == "e0" {
 		return f.processes["e1"]
@@ -27,27 +27,27 @@
 // agent lives; without the grace, the steward would fence them all.
 func TestKVDownForAnHour(t *testing.T) {
 	f := newFleet(t, 20, core.DefaultTimings())
-	f.serves(modelTarget("m0"))
+	f.expectServed(modelTarget("m0"))
 	before := f.generations()
 	f.KV.SetDown(true)
 	for i := range 12 {
-		f.serves(modelTarget([]string{"m1", "m2", "m3", "m5"}[i%4]))
-		f.serves(adapterTarget("a0"))
+		f.expectServed(modelTarget([]string{"m1", "m2", "m3", "m5"}[i%4]))
+		f.expectServed(adapterTarget("a0"))
 		f.RunFor(3*time.Minute + 40*time.Second)
 	}
 	if f.replicas("m4") != 1 {
 		t.Error("a model that is kept loaded was unloaded in the outage")
 	}
-	loads := f.Referee.Loads
+	loads := f.Checker.Loads
 	f.KV.SetDown(false)
 	f.RunFor(2 * f.timings.Grace)
 	if after := f.generations(); after != before {
 		t.Errorf("slots moved over the outage:\n%s\n%s", before, after)
 	}
-	if f.replicas("m4") != 1 || f.Referee.Loads != loads {
+	if f.replicas("m4") != 1 || f.Checker.Loads != loads {
 		t.Error("replicas were unloaded or loaded by the return")
 	}
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -56,7 +56,7 @@
 // return all slots are served again within the bound.
 func TestKVDownBeyondTenure(t *testing.T) {
 	f := newFleet(t, 21, shortTimings())
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	before := f.generations()
 	f.KV.SetDown(true)
 	f.RunFor(3 * f.timings.Tenure)
@@ -74,7 +74,7 @@
 	if after := f.generations(); after != before {
 		t.Errorf("slots moved though every agent lived:\n%s\n%s", before, after)
 	}
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -131,7 +131,7 @@
 	f.RunFor(ownerBound(f.timings))
 	f.allOwned()
 	for _, name := range []string{"m0", "m1", "m2", "m3", "m5"} {
-		f.serves(modelTarget(name))
+		f.expectServed(modelTarget(name))
 	}
 	f.finish()
 }
@@ -141,38 +141,38 @@
 // failure, or for a success, would give a slot to two hosts or to none.
 func TestWriteDoneAnswerLost(t *testing.T) {
 	f := newFleet(t, 23, shortTimings())
-	f.serves(modelTarget("m3"))
+	f.expectServed(modelTarget("m3"))
 	f.KV.LoseAnswers(12)
 	leaving := f.owner("m3", 0)
 	f.leave(leaving.Host.ID)
-	f.within(time.Minute, "graceful exit", func() bool { return !leaving.Alive() })
+	f.waitFor(time.Minute, "graceful exit", func() bool { return !leaving.Alive() })
 	f.RunFor(20 * time.Second)
 	f.allOwned()
-	f.serves(modelTarget("m3"))
+	f.expectServed(modelTarget("m3"))
 	f.finish()
 }
 
 func (f *fleet) successor(old *harness.Process) func() bool {
-	return func() bool { p := f.inOffice(); return p != nil && p != old }
+	return func() bool { p := f.currentSteward(); return p != nil && p != old }
 }
 
 // The steward is paused in the middle of its work and another takes the
 // office. The first wakes, believes that it is still in office, and sends what
 // it had decided: its writes must fail and its grants must do no harm.
-func TestStewardPausedThenAwake(t *testing.T) {
+func TestPausedStewardResumes(t *testing.T) {
 	f := newFleet(t, 24, shortTimings())
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	old := f.steward()
 	moving := f.owner("m2", 0)
 	f.leave(moving.Host.ID)
 	f.RunFor(10100 * time.Millisecond) // the list has told; a plan is due
 	old.Pause(40 * time.Second)
-	f.within(30*time.Second, "another steward", f.successor(old))
+	f.waitFor(30*time.Second, "another steward", f.successor(old))
 	f.RunFor(25 * time.Second)
 	f.allOwned()
 	f.RunFor(20 * time.Second) // the first one wakes
 	f.allOwned()
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -180,24 +180,24 @@
 // the agents, and the other takes the office. Agents hear from both.
 func TestTwoStewards(t *testing.T) {
 	f := newFleet(t, 25, shortTimings())
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	old := f.steward()
 	f.KV.CutOff(old.Host.ID, true)
-	f.within(30*time.Second, "another steward", f.successor(old))
+	f.waitFor(30*time.Second, "another steward", f.successor(old))
 	f.reclaim("h1")
 	f.RunFor(40 * time.Second)
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.KV.CutOff(old.Host.ID, false)
 	f.RunFor(20 * time.Second)
 	f.allOwned()
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
 // The office changes hands often, with both entries holding connections for
 // their callers all the while. Every agent must go on being asked for reports,
 // whoever asked first; one that is forgotten loses its slots with its tenure.
-func TestOfficeChangesHands(t *testing.T) {
+func TestRepeatedStewardChanges(t *testing.T) {
 	f := newFleet(t, 26, shortTimings())
 	f.enlarge()
 	before := f.generations()
@@ -212,7 +212,7 @@
 	if after := f.generations(); after != before {
 		t.Errorf("slots moved though every agent lived:\n%s\n%s", before, after)
 	}
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -231,12 +231,12 @@
 // comes: slots known before serve on.
 func TestEntryCutFromKVOnly(t *testing.T) {
 	f := newFleet(t, 27, shortTimings())
-	other := f.other().Host.ID
+	other := f.standby().Host.ID
 	f.KV.CutOff(other, true)
 	for range 6 {
 		o := f.call(other, modelTarget("m1"), 5)
 		f.RunFor(20 * time.Second)
-		f.answered(o)
+		f.expectAnswered(o)
 	}
 	f.finish()
 }
@@ -247,23 +247,23 @@
 // either, so the slot moves only after the cut is over.
 func TestHostCutFromSteward(t *testing.T) {
 	f := newFleet(t, 28, shortTimings())
-	f.serves(modelTarget("m2"))
-	owner, other := f.owner("m2", 0).Host.ID, f.other().Host.ID
+	f.expectServed(modelTarget("m2"))
+	owner, other := f.owner("m2", 0).Host.ID, f.standby().Host.ID
 	incarnation := f.owner("m2", 0).Incarnation
 	f.Cut(f.steward().Host.ID, owner, true)
 	o := f.call(other, modelTarget("m2"), 5)
 	f.RunFor(5 * time.Second)
-	f.answered(o)
+	f.expectAnswered(o)
 	f.RunFor(ownerBound(f.timings))
 	if f.movedFrom("m2", 0, owner)() || !f.processes[owner].Engine.Empty() {
 		t.Error("the slot moved unasked, or the owner kept its replica")
 	}
 	f.Cut(f.steward().Host.ID, owner, false)
-	f.within(ownerBound(f.timings), "slot owned again", func() bool {
+	f.waitFor(ownerBound(f.timings), "slot owned again", func() bool {
 		p := f.processes[f.slot("m2", 0).Owner]
 		return p != nil && p.Incarnation == f.slot("m2", 0).Incarnation && p.Incarnation != incarnation
 	})
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
@@ -298,7 +298,7 @@
 		for _, b := range core.SortedKeys(faults) {
 			t.Run(a+" and "+b, func(t *testing.T) {
 				f := newFleet(t, 29, shortTimings())
-				f.serves(modelTarget("m1"))
+				f.expectServed(modelTarget("m1"))
 				faults[a](f)
 				faults[b](f)
 				f.burst(modelTarget("m5"), 3)
@@ -308,8 +308,8 @@
 				f.addEngine(5)
 				f.RunFor(3 * time.Minute)
 				f.allOwned()
-				f.serves(modelTarget("m5"))
-				f.serves(modelTarget("m1"))
+				f.expectServed(modelTarget("m5"))
+				f.expectServed(modelTarget("m1"))
 				f.finish()
 			})
 		}
@@ -321,7 +321,7 @@
 // twice, and the caller gets the whole answer over the fresh connection.
 func TestSilentConnection(t *testing.T) {
 	f := newFleet(t, 30, shortTimings())
-	f.serves(modelTarget("m2"))
+	f.expectServed(modelTarget("m2"))
 	o := f.Request("e0", core.RequestArrived{ClientAccount: "c", Target: modelTarget("m2"), Timeout: time.Minute}, 300)
 	f.RunFor(time.Second)
 	f.Silence("e0", f.owner("m2", 0).Host.ID)
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -22,11 +22,11 @@
 	alive  bool
 	paused bool
 	// backlog holds what reached the process while it was paused.
-	backlog []func()
-	wake    uint64
+	backlog      []func()
+	wakeSequence uint64
 	// pauses counts the pauses; wokeAt is when the last one ended.
 	pauses       int
-	wokeAt       core.Time
+	resumedAt    core.Time
 	pauseAtOrder time.Duration
 	revision     int64
 	// rate and offset make the process's own clock.
@@ -173,13 +173,13 @@
 }
 
 func (p *Process) setWake(at core.Time) {
-	p.wake++
+	p.wakeSequence++
 	if at == core.Never {
 		return
 	}
-	wake, incarnation := p.wake, p.Incarnation
+	wake, incarnation := p.wakeSequence, p.Incarnation
 	p.world.at(max(p.globalTime(at), p.world.now), func() {
-		if p.wake == wake && p.Incarnation == incarnation {
+		if p.wakeSequence == wake && p.Incarnation == incarnation {
 			p.post(core.Tick{})
 		}
 	})
@@ -195,21 +195,21 @@
 	p.pauses++
 	pause, incarnation := p.pauses, p.Incarnation
 	for _, l := range p.world.linksOf(p) {
-		p.world.After(silenceTime, func() {
+		p.world.After(silenceTimeout, func() {
 			if p.paused && p.pauses == pause && p.Incarnation == incarnation {
-				p.world.endSilent(l)
+				p.world.timeOut(l)
 			}
 		})
 	}
 	p.world.After(d, func() {
 		if p.Incarnation == incarnation && p.pauses == pause && p.paused {
-			p.wakeUp()
+			p.resume()
 		}
 	})
 }
 
-func (p *Process) wakeUp() {
-	p.paused, p.wokeAt = false, p.world.now
+func (p *Process) resume() {
+	p.paused, p.resumedAt = false, p.world.now
 	backlog := p.backlog
 	p.backlog = nil
 	for _, f := range backlog {
@@ -232,7 +232,7 @@
 // Reclaim takes the host away with its engine. Nobody is told: connections
 // fall silent and the host list lags.
 func (p *Process) Reclaim() {
-	p.end(silenceTime, false)
+	p.end(silenceTimeout, false)
 	if p.Engine != nil {
 		p.Engine.Reset()
 	}
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -41,7 +41,7 @@
 		post(time.Millisecond, core.RunProgress{Attempt: o.Attempt, Kind: core.FrameEnd, Code: code.EngineNotLoaded})
 		return
 	}
-	e.world.Referee.ran(o.Attempt)
+	e.world.Checker.runStarted(o.Attempt)
 	r := &run{
 		order: o, next: o.ResumeFrom, total: tokenCount(o.Body),
 		post: func(m core.RunProgress) { m.Attempt = o.Attempt; post(0, m) },
--- a/internal/harness/stop_test.go
+++ b/internal/harness/stop_test.go
@@ -47,7 +47,7 @@
 }
 
 // calling sends calls at random moments of a time, each to one of the entries.
-func (h *stopHistory) calling() {
+func (h *stopHistory) scheduleCalls() {
 	target := rapid.SampledFrom([]core.Target{serviceTarget, serviceTarget, modelTarget("m0"), modelTarget("m1")}).Draw(h.rt, "target")
 	for range rapid.IntRange(1, 12).Draw(h.rt, "calls") {
 		entry := entryID(rapid.IntRange(0, 1).Draw(h.rt, "entry"))
@@ -56,7 +56,7 @@
 			if !h.processes[entry].Alive() {
 				entry = "e1" // no balancer sends to an entry that has ended
 			}
-			h.calls = append(h.calls, h.unrepeatable(entry, target, tokens))
+			h.calls = append(h.calls, h.callNonIdempotent(entry, target, tokens))
 		})
 	}
 }
@@ -81,14 +81,14 @@
 }
 
 // unrepeatable sends a call that must not run twice.
-func (f *fleet) unrepeatable(entry core.HostID, target core.Target, tokens uint64) *harness.Outcome {
+func (f *fleet) callNonIdempotent(entry core.HostID, target core.Target, tokens uint64) *harness.Outcome {
 	return f.Request(entry, core.RequestArrived{
 		ClientAccount: "c", Target: target, Timeout: time.Minute, Method: "POST", Path: "/x",
 	}, tokens)
 }
 
 // wholeOrNotRun checks that no call was cut and none has an outcome that nobody knows.
-func (f *fleet) wholeOrNotRun(calls []*harness.Outcome) {
+func (f *fleet) expectWholeOrNotRun(calls []*harness.Outcome) {
 	f.t.Helper()
 	for i, o := range calls {
 		if o.Ended == 0 || o.Code != code.OK && !o.Code.NotRun() {
@@ -98,9 +98,9 @@
 }
 
 // judge checks that the stop cost none of the calls anything.
-func (h *stopHistory) judge() {
+func (h *stopHistory) checkStop() {
 	h.finish()
-	h.wholeOrNotRun(h.calls)
+	h.expectWholeOrNotRun(h.calls)
 }
 
 // stopCase is a planned stop of s0 among nine calls that e0 and e1 send to it at the same
@@ -133,7 +133,7 @@
 			f.RunFor(20 * time.Second)
 			var calls []*harness.Outcome
 			for _, entry := range c.entries {
-				f.After(0, func() { calls = append(calls, f.unrepeatable(entryID(entry), serviceTarget, 0)) })
+				f.After(0, func() { calls = append(calls, f.callNonIdempotent(entryID(entry), serviceTarget, 0)) })
 			}
 			f.After(c.e0At, func() { f.processes["e0"].Pause(c.e0For) })
 			f.After(c.s0At, func() { f.processes["s0"].Pause(c.s0For) })
@@ -143,7 +143,7 @@
 			f.After(0, func() { f.processes["s0"].Stop(stopLimit) })
 			f.RunFor(30 * time.Second)
 			f.finish()
-			f.wholeOrNotRun(calls)
+			f.expectWholeOrNotRun(calls)
 		})
 	}
 }
@@ -151,42 +151,42 @@
 // Guards against calls whose outcome nobody knows, or that are cut, because an agent was
 // stopped as planned: whichever of its messages was unread, queued or on its way, on
 // whichever busy host.
-func TestPlannedStopOfAnAgentCostsNoCall(t *testing.T) {
+func TestAgentStopLosesNoRequest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
 		stopped := rapid.SampledFrom([]core.HostID{"s0", "h0", "h1"}).Draw(rt, "stopped")
-		h.calling()
+		h.scheduleCalls()
 		h.starve(longestStarved, "e0", "e1", stopped)
 		h.After(h.draw("stop at", stopSpan), func() { h.processes[stopped].Stop(stopLimit) })
 		h.RunFor(30 * time.Second)
-		h.judge()
+		h.checkStop()
 	})
 }
 
 // The same where a busy host's connections are taken for dead meanwhile, and set up again.
-func TestPlannedStopOfAnAgentAmongBrokenConnections(t *testing.T) {
+func TestAgentStopWithBrokenConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
 		stopped := rapid.SampledFrom([]core.HostID{"s0", "h0", "h1"}).Draw(rt, "stopped")
-		h.calling()
+		h.scheduleCalls()
 		h.starve(longestUnreachable, "e0", "e1", stopped)
 		h.breakLinks(stopped)
 		h.After(h.draw("stop at", stopSpan), func() { h.processes[stopped].Stop(stopLimit) })
 		h.RunFor(30 * time.Second)
-		h.judge()
+		h.checkStop()
 	})
 }
 
 // Guards against callers whose requests wait at an agent when their entry ends: told
 // "outcome unknown", they could not send them again.
-func TestStoppingEntryRefusesWhatWaits(t *testing.T) {
+func TestStoppingEntryRefusesQueuedRequests(t *testing.T) {
 	f := newFleet(t, 2, shortTimings())
 	f.declare(resource(api.KindService, "records", &api.ServiceSpec{MaxConcurrent: 1}))
 	f.RunFor(5 * time.Second)
 	const tokens = 60 // 1.2 s
 	var calls []*harness.Outcome
 	for range 6 {
-		calls = append(calls, f.unrepeatable("e0", serviceTarget, tokens))
+		calls = append(calls, f.callNonIdempotent("e0", serviceTarget, tokens))
 	}
 	f.RunFor(100 * time.Millisecond)
 	f.processes["e0"].Stop(3 * time.Second)
@@ -196,7 +196,7 @@
 		switch {
 		case o.Code.NotRun():
 			refused++
-		case !f.Referee.Ran(o.ID):
+		case !f.Checker.Ran(o.ID):
 			t.Errorf("call %d never ran and its caller was told %v", i, o.Code)
 		}
 	}
@@ -207,29 +207,29 @@
 }
 
 // The same of an entry: what it holds ends before it does.
-func TestPlannedStopOfAnEntryCostsNoCall(t *testing.T) {
+func TestEntryStopLosesNoRequest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
-		h.calling()
+		h.scheduleCalls()
 		h.starve(longestStarved, "e1", "s0", "h0")
 		h.After(h.draw("stop at", stopSpan), func() { h.processes["e0"].Stop(stopLimit) })
 		h.RunFor(40 * time.Second)
-		h.judge()
+		h.checkStop()
 	})
 }
 
 // The same of an entry whose time is too short for some: a call that never ran is told so.
-func TestShortStopOfAnEntryTellsWhatNeverRan(t *testing.T) {
+func TestShortEntryStopReportsNotRun(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
 		h.declare(resource(api.KindService, "records", &api.ServiceSpec{MaxConcurrent: 1}))
-		h.calling()
+		h.scheduleCalls()
 		limit := shortestLimit + h.draw("limit", 5*time.Second)
 		h.After(h.draw("stop at", stopSpan), func() { h.processes["e0"].Stop(limit) })
 		h.RunFor(20 * time.Second)
 		h.finish()
 		for i, o := range h.calls {
-			if o.Code != code.OK && !o.Code.NotRun() && !h.Referee.Ran(o.ID) {
+			if o.Code != code.OK && !o.Code.NotRun() && !h.Checker.Ran(o.ID) {
 				rt.Fatalf("call %d at %s to %v never ran: %v", i, time.Duration(o.Arrived), o.Target, o.Code)
 			}
 		}
--- a/internal/harness/store.go
+++ b/internal/harness/store.go
@@ -16,7 +16,7 @@
 	LoadsPerSecond float64
 	nextStart      core.Time
 	reads          []*read
-	movedAt        core.Time
+	advancedAt     core.Time
 	epoch          int
 	// Loads counts reads begun, Busiest is the most at once.
 	Loads, Busiest int
@@ -29,7 +29,7 @@
 }
 
 // tinyMiB is the rest of a read that counts as none, for rounding.
-const tinyMiB = 1e-6
+const roundingMiB = 1e-6
 
 // Read calls done once size MiB came from the store.
 func (s *Store) Read(size int64, done func()) {
@@ -40,11 +40,11 @@
 		s.nextStart = s.nextStart.Add(time.Duration(float64(time.Second) / s.LoadsPerSecond))
 	}
 	s.world.After(wait, func() {
-		s.move()
+		s.advance()
 		s.reads = append(s.reads, &read{left: float64(size), done: done})
 		s.Loads++
 		s.Busiest = max(s.Busiest, len(s.reads))
-		s.plan()
+		s.scheduleNext()
 	})
 }
 
@@ -54,16 +54,16 @@
 }
 
 // move brings all reads forward to now.
-func (s *Store) move() {
-	moved := s.world.now.Sub(s.movedAt).Seconds() * s.rate()
-	s.movedAt = s.world.now
+func (s *Store) advance() {
+	moved := s.world.now.Sub(s.advancedAt).Seconds() * s.rate()
+	s.advancedAt = s.world.now
 	for _, r := range s.reads {
 		r.left -= moved
 	}
 }
 
 // plan waits for the read that ends next at the present speed.
-func (s *Store) plan() {
+func (s *Store) scheduleNext() {
 	s.epoch++
 	if len(s.reads) == 0 {
 		return
@@ -81,15 +81,15 @@
 }
 
 func (s *Store) finish() {
-	s.move()
+	s.advance()
 	var ended []*read
 	s.reads = slices.DeleteFunc(s.reads, func(r *read) bool {
-		if r.left <= tinyMiB {
+		if r.left <= roundingMiB {
 			ended = append(ended, r)
 		}
-		return r.left <= tinyMiB
+		return r.left <= roundingMiB
 	})
-	s.plan()
+	s.scheduleNext()
 	for _, r := range ended {
 		r.done()
 	}
--- a/internal/harness/world.go
+++ b/internal/harness/world.go
@@ -23,14 +23,14 @@
 
 // Latencies of the fakes, one way unless said otherwise.
 const (
-	zoneDelay   = 500 * time.Microsecond
-	crossDelay  = 1500 * time.Microsecond
-	kvDelay     = 3 * time.Millisecond // answer to a KV call
-	kvTimeout   = time.Second          // until an unreachable KV call fails
-	watchDelay  = 5 * time.Millisecond
-	dialTimeout = 2 * time.Second
+	sameZoneDelay  = 500 * time.Microsecond
+	crossZoneDelay = 1500 * time.Microsecond
+	kvDelay        = 3 * time.Millisecond // answer to a KV call
+	kvTimeout      = time.Second          // until an unreachable KV call fails
+	watchDelay     = 5 * time.Millisecond
+	dialTimeout    = 2 * time.Second
 	// silenceTime is when a connection that went silent is given up.
-	silenceTime = 15 * time.Second
+	silenceTimeout = 15 * time.Second
 	// configSpread is the longest time from the acceptance of a configuration
 	// until it is in force at a process.
 	configSpread = time.Second
@@ -41,7 +41,7 @@
 // World is a set of processes and fakes on one virtual clock.
 type World struct {
 	now       core.Time
-	todo      schedule
+	pending   schedule
 	sequence  uint64
 	rand      *rand.Rand
 	processes map[core.HostID]*Process
@@ -55,7 +55,7 @@
 	cuts      map[linkKey]bool
 	KV        *KV
 	Store     *Store
-	Referee   *Referee
+	Checker   *Checker
 }
 
 // New returns an empty world.
@@ -66,7 +66,7 @@
 		hosts:     map[core.HostID]core.Host{},
 		links:     map[linkKey]*link{},
 		cuts:      map[linkKey]bool{},
-		Referee:   newReferee(),
+		Checker:   newChecker(),
 	}
 	w.KV = newKV(w)
 	w.Store = &Store{world: w, Lanes: 4, MiBPerSecond: 2000}
@@ -84,14 +84,14 @@
 
 func (w *World) at(t core.Time, f func()) {
 	w.sequence++
-	heap.Push(&w.todo, action{at: t, sequence: w.sequence, run: f})
+	heap.Push(&w.pending, action{at: t, sequence: w.sequence, run: f})
 }
 
 // RunFor lets d pass.
 func (w *World) RunFor(d time.Duration) {
 	end := w.now.Add(d)
-	for len(w.todo) > 0 && w.todo[0].at <= end {
-		w.next()
+	for len(w.pending) > 0 && w.pending[0].at <= end {
+		w.runNext()
 	}
 	w.now = end
 }
@@ -101,27 +101,27 @@
 func (w *World) RunUntil(d time.Duration, condition func() bool) bool {
 	end := w.now.Add(d)
 	for !condition() {
-		if len(w.todo) == 0 || w.todo[0].at > end {
+		if len(w.pending) == 0 || w.pending[0].at > end {
 			w.now = end
 			return condition()
 		}
-		w.next()
+		w.runNext()
 	}
 	return true
 }
 
-func (w *World) next() {
-	a := heap.Pop(&w.todo).(action)
+func (w *World) runNext() {
+	a := heap.Pop(&w.pending).(action)
 	w.now = max(w.now, a.at)
 	a.run()
-	w.Referee.check(w)
+	w.Checker.check(w)
 }
 
 // SetConfig puts a configuration in force at every process, at each within a
 // second, and at each later start.
 func (w *World) SetConfig(snapshot *api.Snapshot) {
 	w.snapshot = snapshot
-	w.Referee.decide(snapshot)
+	w.Checker.configAccepted(snapshot)
 	for _, host := range w.order {
 		p := w.processes[host]
 		w.After(time.Duration(w.rand.Int64N(int64(configSpread))), func() { p.configure(snapshot) })
@@ -136,13 +136,13 @@
 		list.Hosts = append(list.Hosts, w.hosts[id])
 	}
 	if w.now == 0 {
-		w.showHosts(list)
+		w.deliverHosts(list)
 		return
 	}
-	w.After(hostListLag, func() { w.showHosts(list) })
+	w.After(hostListLag, func() { w.deliverHosts(list) })
 }
 
-func (w *World) showHosts(list core.HostList) {
+func (w *World) deliverHosts(list core.HostList) {
 	w.published = list
 	for _, host := range w.order {
 		w.processes[host].post(list)
