--- a/internal/harness/cache.go
+++ b/internal/harness/cache.go
@@ -7,8 +7,9 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// cache holds the checkpoints near an engine: on its local disk, and the
-// newest unloaded ones in the host's memory. The least recently used go first.
+// cache lists the checkpoints cached for an engine: on the local disk and, for
+// unloaded ones, in host memory. Each tier evicts the least recently used
+// checkpoints first.
 type cache struct {
 	disk, memory []cached
 }
@@ -18,7 +19,8 @@
 	mib int64
 }
 
-// put makes key the newest of a tier of at most limit MiB (0: no limit).
+// put inserts key as the most recently used one of a tier of at most limit MiB
+// (0: no limit). A checkpoint larger than the limit is not cached.
 func put(tier []cached, key string, mib, limit int64) []cached {
 	if limit > 0 && mib > limit {
 		return tier
@@ -39,12 +41,12 @@
 	return slices.ContainsFunc(tier, func(c cached) bool { return c.key == key })
 }
 
-// Cache puts a checkpoint on the engine's local disk.
+// Cache adds a checkpoint to the cache on the engine's local disk.
 func (e *Engine) Cache(key string, mib int64) {
 	e.cache.disk = put(e.cache.disk, key, mib, e.DiskMiB)
 }
 
-// Tier returns where the engine has the nearest copy of a checkpoint.
+// Tier returns the fastest tier that has a copy of a checkpoint.
 func (e *Engine) Tier(key string) core.Tier {
 	switch {
 	case holds(e.cache.memory, key):
@@ -55,7 +57,8 @@
 	return core.TierRemote
 }
 
-// Rate returns the speed of a load from a tier, the store's at full speed.
+// Rate returns the rate of a load from a tier in MiB/s. For the weight store it
+// is the full speed, without contention.
 func (e *Engine) Rate(tier core.Tier) float64 {
 	switch tier {
 	case core.TierMemory:
@@ -66,12 +69,12 @@
 	return e.world.Store.MiBPerSecond
 }
 
-// LoadTime returns how long a load takes from a tier when nothing else loads.
+// LoadTime returns the duration of a load from a tier without concurrent loads.
 func (e *Engine) LoadTime(tier core.Tier, mib int64) time.Duration {
 	return e.FixedLoad + time.Duration(float64(mib)/e.Rate(tier)*float64(time.Second))
 }
 
-// fetch calls done once the checkpoint was read from its nearest copy.
+// fetch calls done when the checkpoint has been read from its fastest tier.
 func (e *Engine) fetch(key string, mib int64, done func()) {
 	tier := e.Tier(key)
 	if tier != core.TierRemote {
--- a/internal/harness/caller.go
+++ b/internal/harness/caller.go
@@ -9,15 +9,16 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Outcome is what became of one request, as its caller saw it.
+// Outcome is the result of one request as observed by its caller.
 type Outcome struct {
 	ID         core.RequestID
 	Target     core.Target
 	Idempotent bool
-	// Arrived is when the request was sent and Deadline when its caller gives
-	// up waiting.
+	// Arrived is the time at which the request was sent; Deadline is the time
+	// at which the caller stops waiting.
 	Arrived, Deadline core.Time
-	// FirstToken and Ended are zero until they happen.
+	// FirstToken and Ended are the times of the first token and of the end of
+	// the answer; zero before that.
 	FirstToken, Ended core.Time
 	Tokens, Want      uint64
 	Code              code.Code
@@ -31,7 +32,8 @@
 	abandoned        bool
 }
 
-// Wait is the time until the first token, or until the end without one.
+// Wait returns the time from arrival to the first token, or to the end if there
+// was no token.
 func (o *Outcome) Wait() time.Duration {
 	if o.FirstToken != 0 {
 		return o.FirstToken.Sub(o.Arrived)
@@ -39,8 +41,8 @@
 	return o.Ended.Sub(o.Arrived)
 }
 
-// due is when the answer has to be there. A request that reached its entry
-// during a pause is seen, and its time counted, only after it.
+// due returns the time by which the request must be answered. An entry that was
+// paused when the request arrived starts the timeout when it resumes.
 func (o *Outcome) due() core.Time {
 	if woke := o.entry.resumedAt; o.Arrived < woke {
 		return woke.Add(o.Deadline.Sub(o.Arrived))
@@ -48,8 +50,8 @@
 	return o.Deadline
 }
 
-// Request lets a caller send a request to an entry. The body asks for a
-// number of tokens; callers with the same idempotency key send the same body.
+// Request sends a caller's request for a number of tokens to an entry. Requests
+// with the same idempotency key and number of tokens have the same body.
 func (w *World) Request(entry core.HostID, request core.RequestArrived, tokens uint64) *Outcome {
 	binary.BigEndian.PutUint64(request.ID[:8], w.rand.Uint64())
 	binary.BigEndian.PutUint64(request.ID[8:], w.rand.Uint64())
@@ -92,8 +94,8 @@
 	return false
 }
 
-// Abandon lets a caller close its connection. What comes after is not judged
-// but for the number of runs.
+// Abandon closes the caller's connection of a request. Later events of the
+// request are not checked, except for the number of runs.
 func (w *World) Abandon(o *Outcome) {
 	if o.Ended != 0 {
 		return
@@ -104,7 +106,7 @@
 	}
 }
 
-// respond plays the caller's side of an answer.
+// respond handles an answer on the caller's side and records it in the outcome.
 func (p *Process) respond(effect core.Effect) {
 	r := p.world.Checker
 	switch e := effect.(type) {
@@ -136,8 +138,8 @@
 	}
 }
 
-// compare checks a piece of an answer against the one that the request should
-// get: another caller's, a repeated or a missing piece shows.
+// checkPayload compares a part of an answer with the expected tokens. It detects
+// parts of another request's answer as well as repeated and missing parts.
 func (r *Checker) checkPayload(o *Outcome, payload []byte) {
 	for _, b := range payload {
 		if o.Tokens >= o.Want || b != token(o.body, o.Tokens) {
--- a/internal/harness/checker.go
+++ b/internal/harness/checker.go
@@ -11,35 +11,38 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// answerSlack is how long after its deadline a request may be answered: what
-// messages and a busy process may take.
+// answerSlack is the tolerated time from the deadline of a request to its
+// answer. It covers message delays and the delay of a busy process.
 const answerSlack = time.Second
 
-// writeSettles is how long a write may be under way that was decided before a
+// writeSettleTime is the maximum duration of a write that was decided before a
 // new configuration came into force.
 const writeSettleTime = 2 * time.Second
 
-// Checker watches the fakes and notes every broken promise.
+// Checker checks the system's invariants on what the fakes observe and records
+// every violation.
 type Checker struct {
 	Violations []string
 	Outcomes   []*Outcome
 	Loads      int
-	// LoadsOf counts loads by key.
+	// LoadsByKey counts loads by checkpoint key.
 	LoadsByKey map[string]int
-	// IdleTime is accelerator time during which a loaded model ran nothing,
-	// weighted by its share of the accelerators; LoadedTime is all of it.
+	// IdleTime is the accelerator time during which a model was loaded without
+	// a running request, weighted by its share of the engine's accelerators.
+	// LoadedTime is the total accelerator time of loaded models.
 	IdleTime, LoadedTime time.Duration
 
 	runs map[core.RequestID]int
-	// slots is the slot table as the KV service has it, and decided the
-	// number of replicas that may be loaded by it and the configuration.
+	// slots is the slot table stored in the KV service. allowed is the number
+	// of replicas that may be loaded by the slot table and the configuration.
 	slots   map[core.SlotID]core.Slot
 	highest map[string]uint64
 	allowed map[string]int
 	limits  map[string]int
-	// unsettled is when some process last had an older configuration.
+	// lastOutdated is the last time at which some process had an older
+	// configuration.
 	lastOutdated core.Time
-	// stale is set when something changed that check looks at.
+	// needsCheck is set when the input of check has changed.
 	needsCheck bool
 }
 
@@ -51,10 +54,10 @@
 	}
 }
 
-// Ran tells whether a request ran on an engine.
+// Ran reports whether a request ran on an engine or service.
 func (r *Checker) Ran(id core.RequestID) bool { return r.runs[id] > 0 }
 
-// Violate notes a broken promise.
+// ReportViolation records the violation of an invariant.
 func (r *Checker) ReportViolation(format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
@@ -64,8 +67,9 @@
 	return name
 }
 
-// decide takes a configuration that was accepted. A limit that is lowered
-// stands until the slots above it are gone; see check.
+// configAccepted records a newly accepted configuration. When a limit is
+// lowered, the higher limit applies until the slots above the new one are
+// gone; see check.
 func (r *Checker) configAccepted(s *api.Snapshot) {
 	r.needsCheck = true
 	clear(r.limits)
@@ -80,10 +84,10 @@
 	}
 }
 
-// slotTable takes a chunk of the slot table that was written. A slot keeps its
-// fencing number as long as its owner; a new owner's, or one given after a
-// release, is above all that the model ever had, since engines keep one number
-// for each checkpoint.
+// slotTableWritten records and checks a written chunk of the slot table. A slot
+// keeps its fencing number as long as it has the same owner. The number of a
+// new owner, or one assigned after a release, must be higher than all earlier
+// numbers of the model, because engines store one number per checkpoint.
 func (r *Checker) slotTableWritten(chunk int, value []byte) {
 	r.needsCheck = true
 	var table core.SlotTable
@@ -111,7 +115,8 @@
 	}
 }
 
-// loadBegins checks that the host owns a slot of the model by the table.
+// loadStarted counts a load and checks that the host owns a slot of the model
+// in the slot table.
 func (r *Checker) loadStarted(e *Engine, o core.Order) {
 	r.needsCheck = true
 	r.Loads++
@@ -137,8 +142,9 @@
 	return false
 }
 
-// check compares loaded replicas with what was decided. Until a lowered limit
-// is reached, the higher one stands.
+// check verifies that the loaded replicas and the slots of each model are
+// within the allowed number. After a limit is lowered, the higher limit applies
+// until the lower one has been reached.
 func (r *Checker) check(w *World) {
 	if !r.needsCheck || w.snapshot == nil {
 		return
@@ -167,8 +173,9 @@
 	}
 }
 
-// loadedReplicas counts the checkpoints in all engines by name, whatever their
-// version, from the beginning of their load to the end of their unload.
+// loadedReplicas counts the checkpoints in all engines by name, across
+// versions. A checkpoint counts from the start of its load to the end of its
+// unload.
 func (w *World) loadedReplicas() map[string]int {
 	loaded := map[string]int{}
 	for _, host := range w.order {
@@ -181,8 +188,8 @@
 	return loaded
 }
 
-// configuredEverywhere tells whether the newest configuration is in force at
-// every process that runs.
+// configuredEverywhere reports whether the newest configuration is in force at
+// every running process. A paused process counts as outdated.
 func (w *World) configuredEverywhere() bool {
 	for _, p := range w.processes {
 		if p.alive && (p.paused || p.revision < w.snapshot.Revision) {
@@ -194,7 +201,8 @@
 
 func (r *Checker) runStarted(attempt core.AttemptID) { r.runs[attempt.Request]++ }
 
-// idle adds the time an item was loaded when it goes.
+// recordIdle adds the loaded and idle time of an item that is removed. Adapters
+// don't count.
 func (r *Checker) recordIdle(e *Engine, it *item, now core.Time) {
 	if it.Base != "" {
 		return
@@ -208,7 +216,7 @@
 	r.IdleTime += time.Duration(float64(loaded-busy) * share)
 }
 
-// judge checks a finished request against what the engines saw.
+// checkOutcome checks a finished request against the runs on the engines.
 func (r *Checker) checkOutcome(o *Outcome) {
 	runs := r.runs[o.ID]
 	switch {
@@ -222,8 +230,10 @@
 	}
 }
 
-// Finish checks what only shows at the end: requests without any answer at
-// processes that still live, and runs that came after a refusal.
+// Finish makes the checks that are only possible at the end: requests without
+// an answer from a process that is still alive, repeated runs of requests that
+// are not idempotent, and runs after a refusal. It also adds the idle time of
+// the items that are still loaded.
 func (w *World) Finish() {
 	for _, o := range w.Checker.Outcomes {
 		runs, p := w.Checker.runs[o.ID], o.entry
@@ -247,5 +257,5 @@
 	}
 }
 
-// Runs returns how often a request was handed to a backend server and run.
+// Runs returns the number of times a request ran on a backend server.
 func (r *Checker) Runs(id core.RequestID) int { return r.runs[id] }
--- a/internal/harness/differential_test.go
+++ b/internal/harness/differential_test.go
@@ -14,26 +14,27 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// sent is a request of a fault-free history.
+// sent is a request of a history without faults.
 type sent struct {
 	at     time.Duration
 	target core.Target
 	tokens uint64
 	key    string
-	// entry is the number of the entry that gets it.
+	// entry is the index of the entry that receives the request.
 	entry int
 }
 
-// answer is what the caller of a request gets, and how often a call runs.
+// answer is the result of a request and its number of runs.
 type answer struct {
 	Result code.Code
 	Tokens uint64
 	Runs   int
 }
 
-// naive is the whole system as one process that loads each model on the first
-// host with room, unloads the least recently used ones for it, runs one
-// request after the other and remembers every key.
+// referenceSystem is a simple model of the whole system as a single process. It
+// loads each model on the first host with enough memory, unloads the models that
+// were loaded first to free memory, runs requests one at a time and stores every
+// idempotency key.
 type referenceSystem struct {
 	hosts  []map[string]int64
 	recent []string
@@ -52,7 +53,7 @@
 	}
 	a := answer{Tokens: s.tokens, Runs: 1}
 	if s.key != "" && n.keys[s.key] {
-		a.Runs = 0 // the answer of the first run is given again
+		a.Runs = 0 // the answer of the first run is returned again
 	}
 	n.keys[s.key] = true
 	return a
@@ -101,9 +102,10 @@
 	return n
 }
 
-// Without faults and with time enough, placement, single-flight, admission and
-// routing over many processes must not show: the same requests are served,
-// with the same answers, and each key runs once, as by one naive process.
+// Guards against differences between the fleet and the reference system. Without
+// faults and with sufficient timeouts, placement, single-flight, admission and
+// routing over many processes must not change any result: the same requests are
+// served with the same answers, and each idempotency key runs once.
 func TestMatchesReferenceSystem(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		requests := drawRequests(rt)
@@ -125,14 +127,14 @@
 			got = append(got, outcome())
 		}
 		if diff := gocmp.Diff(sumRuns(requests, want), sumRuns(requests, got)); diff != "" {
-			rt.Fatalf("naive (-) and fleet (+) differ:\n%s", diff)
+			rt.Fatalf("reference system (-) and fleet (+) differ:\n%s", diff)
 		}
 		f.finish()
 	})
 }
 
-// sumRuns counts the runs of all requests with one key at the first of them:
-// which of them ran is not the caller's business.
+// sumRuns adds the runs of all requests with the same key to the first of them,
+// because any one of them may run.
 func sumRuns(requests []sent, answers []answer) []answer {
 	first := map[string]int{}
 	for i, s := range requests {
--- a/internal/harness/engine.go
+++ b/internal/harness/engine.go
@@ -8,23 +8,27 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Engine is the fake engine of one host. It believes every order that its
-// fencing lets pass, as real engines do; the referee looks at the result.
+// Engine is the fake engine of one host. Like a real engine it carries out
+// every order that passes its fencing check, even one that overcommits memory;
+// the Checker evaluates the result.
 type Engine struct {
 	world *World
 	owner *Process
-	// MemoryMiB is the accelerator memory; Accelerators counts the units.
+	// MemoryMiB is the total accelerator memory; Accelerators is the number of
+	// accelerators.
 	MemoryMiB    int64
 	Accelerators int
 	Fencing      bool
-	// DiskMiBPerSecond and RAMMiBPerSecond are rates of cached loads.
+	// DiskMiBPerSecond and RAMMiBPerSecond are the rates of loads from the local
+	// disk and from host memory.
 	DiskMiBPerSecond, RAMMiBPerSecond float64
-	// DiskMiB bounds the local disk's cache (0: no bound); RAMMiB is the host
-	// memory kept for unloaded checkpoints (0: none).
+	// DiskMiB limits the cache on the local disk (0: no limit); RAMMiB is the
+	// host memory used to cache unloaded checkpoints (0: none).
 	DiskMiB, RAMMiB int64
-	// FixedLoad is added to each load.
+	// FixedLoad is the part of a load's duration that does not depend on size.
 	FixedLoad time.Duration
-	// FirstToken and PerToken time a run.
+	// FirstToken is the time from the start of a run to its first token;
+	// PerToken is the time between two tokens.
 	FirstToken, PerToken time.Duration
 	items                map[string]*item
 	used                 int64
@@ -33,10 +37,10 @@
 	role                 core.EngineRole
 	running              map[core.AttemptID]*run
 	epoch                int
-	// failNext makes the next loads die midway; loseNext loses the answers of
-	// the next orders.
+	// failNext is the number of next loads that fail halfway; loseNext is the
+	// number of next orders whose answers are lost.
 	failNext, loseNext int
-	// RunsCut counts runs that an unload broke off.
+	// RunsCut counts runs aborted by an unload.
 	RunsCut int
 }
 
@@ -45,14 +49,15 @@
 	mib    int64 // size of the checkpoint
 	since  core.Time
 	loaded bool
-	// running counts runs on it; busy sums the time with at least one.
+	// running counts the runs on the item; busy is the total time with at least
+	// one run, excluding the present period, which began at busySince.
 	running   int
 	busySince core.Time
 	busy      time.Duration
 }
 
-// count notes that a run on the item, and on its base if it is an adapter,
-// began (+1) or ended (-1).
+// count records that a run on the item, and on its base if it is an adapter,
+// began (change is 1) or ended (-1).
 func (e *Engine) count(key string, change int) {
 	it := e.items[key]
 	if it == nil {
@@ -70,7 +75,7 @@
 	}
 }
 
-// NewEngine returns an engine with round figures for its rates.
+// NewEngine returns an empty engine with default rates and one accelerator.
 func (w *World) NewEngine(memoryMiB int64, fencing bool) *Engine {
 	e := &Engine{
 		world: w, MemoryMiB: memoryMiB, Accelerators: 1, Fencing: fencing,
@@ -81,7 +86,7 @@
 	return e
 }
 
-// Reset empties the engine, as a restart of its process does.
+// Reset clears the engine's state, as a restart of the engine process does.
 func (e *Engine) Reset() {
 	e.epoch++
 	e.world.Checker.needsCheck = true
@@ -90,16 +95,17 @@
 	e.running = map[core.AttemptID]*run{}
 }
 
-// FailLoads makes the next n loads die midway.
+// FailLoads makes the next n loads fail halfway.
 func (e *Engine) FailLoads(n int) { e.failNext = n }
 
-// LoseAnswers makes the next n orders take effect while their answer is lost.
+// LoseAnswers makes the next n successful orders take effect without a usable
+// answer: the process gets EngineUnknown.
 func (e *Engine) LoseAnswers(n int) { e.loseNext = n }
 
-// Empty tells whether the engine holds nothing.
+// Empty reports whether the engine holds no checkpoint.
 func (e *Engine) Empty() bool { return len(e.items) == 0 }
 
-// Loaded tells whether the key is loaded.
+// Loaded reports whether the checkpoint with this key is completely loaded.
 func (e *Engine) Loaded(key string) bool { return e.items[key] != nil && e.items[key].loaded }
 
 func (e *Engine) do(p *Process, effect core.Effect) {
@@ -111,7 +117,7 @@
 	case core.TakeInventory:
 		e.world.After(time.Millisecond, func() { post(time.Millisecond, e.inventory()) })
 	case core.Order:
-		// The check that the shell makes right before sending.
+		// The I/O layer makes the same check immediately before sending.
 		if p.clock() > o.NotAfter {
 			post(0, core.OrderDone{Order: o.ID, Code: code.OrderExpired})
 			return
@@ -142,8 +148,8 @@
 	return inv
 }
 
-// roleSlot is what fences compare orders to change the role by: they have no
-// key.
+// roleSlot is the key of the fencing number of role changes. These orders name
+// no checkpoint.
 const roleSlot = ""
 
 type poster func(time.Duration, core.Event)
--- a/internal/harness/evict.go
+++ b/internal/harness/evict.go
@@ -9,17 +9,17 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Times of an eviction, as package engine's Evictor has them.
+// Time limit and poll interval of an eviction, as in package engine's Evictor.
 const (
 	evictLimit = 30 * time.Second
 	evictPoll  = 200 * time.Millisecond
 )
 
-// EngineURL is the base URL of the engine on a host.
+// EngineURL returns the base URL of the engine on a host.
 func EngineURL(host core.HostID) string { return "http://" + string(host) }
 
-// evict carries out an Evict of a process at the engine of another host, which
-// obeys also when the agent beside it is paused or dead.
+// evict carries out an Evict effect of a process at the engine of another host.
+// The engine executes it even when the agent on its host is paused or dead.
 func (w *World) evict(p *Process, order core.Evict) {
 	inc := p.Incarnation
 	w.evictStep(p, order, w.now.Add(evictLimit), func(after time.Duration, c code.Code) {
@@ -27,7 +27,8 @@
 	})
 }
 
-// evictStep looks at the engine, and has it unload what it holds of the model.
+// evictStep polls the engine and orders it to unload the checkpoints of the
+// model, adapters first, until none is left or the limit has passed.
 func (w *World) evictStep(p *Process, order core.Evict, limit core.Time, answer func(time.Duration, code.Code)) {
 	e := w.engineAt(p, order.URL)
 	if e == nil || w.now > limit {
@@ -49,7 +50,7 @@
 				func(time.Duration, core.Event) {})
 		}
 	}
-	// An eviction ends with its process; a paused one goes on with it.
+	// The eviction stops when the process ends and continues after a pause.
 	inc := p.Incarnation
 	w.After(evictPoll, func() {
 		if p.Incarnation == inc {
@@ -58,7 +59,7 @@
 	})
 }
 
-// engineAt returns the engine at a URL, or nil if the process can't reach it.
+// engineAt returns the engine at a URL, or nil if the process cannot reach it.
 func (w *World) engineAt(p *Process, url string) *Engine {
 	host := core.HostID(strings.TrimPrefix(url, "http://"))
 	_, there := w.hosts[host]
@@ -68,8 +69,8 @@
 	return w.processes[host].Engine
 }
 
-// heldOf returns what the engine holds of a model, whether adapters are among
-// it, and the highest fencing number.
+// heldOf returns the model's checkpoints in the engine including its adapters,
+// whether there are adapters, and the highest fencing number.
 func (e *Engine) heldOf(model string) (held []*item, adapters bool, newest uint64) {
 	for _, key := range core.SortedKeys(e.items) {
 		it := e.items[key]
--- a/internal/harness/evict_test.go
+++ b/internal/harness/evict_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// An agent is paused far beyond its tenure while its engine has a model and an
-// adapter loaded. Callers see the model come up elsewhere; were the paused
-// host's copy left, two replicas would be loaded where one is decided. The
-// steward has the engine unload first. Awake, the old process ends.
+// Guards against a second replica when an agent is paused far beyond its tenure
+// while its engine has a model loaded. The slot moves to another host, so the
+// steward must have the first engine unload its copy before. The fenced process
+// must exit when it resumes.
 func TestAgentPausedWhileLoaded(t *testing.T) {
 	f := newFleet(t, 61, shortTimings())
 	f.expectServed(modelTarget("m2"))
@@ -19,15 +19,15 @@
 	f.expectServed(modelTarget("m2"))
 	f.RunFor(5 * time.Minute)
 	if owner.Incarnation == incarnation {
-		t.Error("the fenced process stays, so that its accelerators are lost for good")
+		t.Error("the fenced process did not exit, so its accelerators stay unused")
 	}
 	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
-// An agent process dies for good while its engine goes on with adapters loaded
-// on a model. The platform starts no other. Its slots come up elsewhere once
-// the engine has unloaded the adapters and then the model.
+// Guards against slots that stay with an agent process that died permanently
+// while its engine keeps running with adapters loaded on a model. The slots must
+// move once the engine has unloaded the adapters and then the model.
 func TestAgentDeadWhileEngineStays(t *testing.T) {
 	f := newFleet(t, 62, shortTimings())
 	f.expectServed(adapterTarget("a0"))
@@ -42,7 +42,7 @@
 	f.RunFor(10 * time.Second)
 	for _, s := range f.slots() {
 		if s.ID.Model == "m0" && s.Owner == owner.Host.ID {
-			t.Errorf("slot %v still is with the dead process", s.ID)
+			t.Errorf("slot %v is still owned by the dead process", s.ID)
 		}
 	}
 	f.expectServed(adapterTarget("a0"))
--- a/internal/harness/fleet_test.go
+++ b/internal/harness/fleet_test.go
@@ -13,7 +13,7 @@
 	"nutmeglane.example/nutmeglane/internal/settings"
 )
 
-// shortTimings let a tenure run out within a minute of virtual time.
+// shortTimings returns timings with a tenure of one minute.
 func shortTimings() core.Timings {
 	t := core.DefaultTimings()
 	t.Tenure, t.TenureMargin, t.UnloadLead = 60*time.Second, 20*time.Second, 20*time.Second
@@ -24,7 +24,7 @@
 
 const engineMiB = 24 << 10
 
-// fleet is a world with a deployment in it.
+// fleet is a World with the processes and resources of a deployment.
 type fleet struct {
 	*harness.World
 	t         fataler
@@ -36,7 +36,7 @@
 	leaving   map[core.HostID]bool
 }
 
-// fataler is testing.T or rapid.T.
+// fataler is implemented by testing.T and rapid.T.
 type fataler interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -45,7 +45,7 @@
 
 // newFleet starts two entries, four engine hosts in two availability zones
 // (the engines of h1 and h3 check fencing numbers) and a service host, and
-// waits until every slot has an owner.
+// runs for 30 s, in which every slot gets an owner.
 func newFleet(t fataler, seed uint64, timings core.Timings) *fleet {
 	f := emptyFleet(t, seed, timings)
 	for i := range 2 {
@@ -88,7 +88,7 @@
 
 func (f *fleet) startAgent(h core.Host, engine *harness.Engine) { f.start(h, engine) }
 
-// restart starts a host's process again, as the platform does.
+// restart starts a new process on a host.
 func (f *fleet) restart(id core.HostID) { f.start(f.hosts[id], nil) }
 
 func (f *fleet) start(h core.Host, engine *harness.Engine) {
@@ -120,15 +120,15 @@
 	}
 }
 
-// revive starts a process that ended again, as the platform does on a host
-// that is still there.
+// revive restarts a process that has ended if its host still exists, as the
+// platform does.
 func (f *fleet) revive(id core.HostID) {
 	if _, here := f.hosts[id]; here && !f.processes[id].Alive() {
 		f.restart(id)
 	}
 }
 
-// reclaim takes a host away.
+// reclaim removes a host without notice.
 func (f *fleet) reclaim(id core.HostID) {
 	if _, here := f.hosts[id]; here {
 		delete(f.hosts, id)
@@ -136,8 +136,8 @@
 	}
 }
 
-// leave gives a host notice. The platform takes it once its process has ended
-// by itself, or after the time for that is over.
+// leave marks a host as leaving. The platform removes it 5 s after its process
+// has exited, at the latest after 140 s.
 func (f *fleet) leave(id core.HostID) {
 	f.leaving[id] = true
 	h := f.hosts[id]
@@ -164,7 +164,8 @@
 	})
 }
 
-// models are six models and three adapters; not all fit at once.
+// models returns six models and three adapters, which do not all fit into the
+// fleet's memory, a service and a client account.
 func models() []api.Resource {
 	one, two := api.ReplicaLimits{Max: 1}, api.ReplicaLimits{Max: 2}
 	return []api.Resource{
@@ -177,7 +178,7 @@
 	}
 }
 
-// declare puts the resources in force beside or in place of those before.
+// declare adds or replaces resources and puts the result in force.
 func (f *fleet) declare(resources ...api.Resource) {
 	f.t.Helper()
 	for _, r := range resources {
@@ -208,7 +209,7 @@
 
 var serviceTarget = core.Target{Service: "records"}
 
-// call sends a request that may be repeated, with a minute to answer it.
+// call sends an idempotent request with a timeout of one minute.
 func (f *fleet) call(entry core.HostID, target core.Target, tokens uint64) *harness.Outcome {
 	return f.Request(entry, core.RequestArrived{
 		ClientAccount: "c", Target: target, Timeout: time.Minute, Idempotent: true,
@@ -259,7 +260,7 @@
 	return core.Slot{}
 }
 
-// owner is the process that owns a slot.
+// owner returns the process that owns a slot.
 func (f *fleet) owner(model string, index uint16) *harness.Process {
 	f.t.Helper()
 	p := f.processes[f.slot(model, index).Owner]
@@ -269,7 +270,8 @@
 	return p
 }
 
-// inOffice is the entry that the KV service names as steward, nil if none.
+// currentSteward returns the entry recorded as steward in the KV service, or nil
+// if there is none.
 func (f *fleet) currentSteward() *harness.Process {
 	var record core.StewardRecord
 	if core.DecodeValue(f.KV.Value(core.KeySteward), &record) != nil {
@@ -278,17 +280,18 @@
 	return f.processes[record.Host]
 }
 
-// steward is the entry in office.
+// steward returns the entry recorded as steward and fails if there is none.
 func (f *fleet) steward() *harness.Process {
 	f.t.Helper()
 	p := f.currentSteward()
 	if p == nil {
-		f.t.Fatalf("nobody in office")
+		f.t.Fatalf("no steward")
 	}
 	return p
 }
 
-// finish lets all requests end and fails on any broken promise.
+// finish waits until all requests have ended and fails on any violation; it logs
+// the first ten.
 func (f *fleet) finish() {
 	f.t.Helper()
 	f.RunFor(70 * time.Second)
@@ -300,14 +303,14 @@
 		f.t.Logf("%s", v)
 	}
 	if n := len(f.Checker.Violations); n > 0 {
-		f.t.Fatalf("%d broken promises", n)
+		f.t.Fatalf("%d violations", n)
 	}
 }
 
-// A tenant waits in an empty kitchen while the room note is turned into a
-// defect line; the model was idle, and callers come at both entries at once.
-// Without single-flight, each entry or request would start its own load: the
-// store would be read several times and the memory of several hosts taken.
+// Guards against several loads for a burst of requests for an idle model that
+// arrive at both entries at once. Without single-flight, each entry or request
+// would start its own load: the store would be read several times and memory of
+// several hosts used.
 func TestColdBurstIsOneLoad(t *testing.T) {
 	f := newFleet(t, 1, core.DefaultTimings())
 	for _, name := range []string{"m0", "m1", "m2", "m3", "m5"} {
@@ -334,7 +337,7 @@
 	f.finish()
 }
 
-// decidedSlots is the number of slots that the declared models ask for.
+// decidedSlots returns the number of slots of the declared models.
 func (f *fleet) decidedSlots() int {
 	n := 0
 	for _, r := range f.resources {
--- a/internal/harness/history_test.go
+++ b/internal/harness/history_test.go
@@ -38,19 +38,22 @@
 	os.Exit(m.Run())
 }
 
-// Bounds of the faults that are drawn. A tenure with its margin is 80 s.
+// Bounds of the drawn faults. Tenure plus TenureMargin is 80 s.
 const (
-	// A process is away for at most this long, paused or between its end and
-	// the start of the next on its host, whatever its engine holds.
+	// longestPause is the maximum pause of an agent, and restartGap the maximum
+	// time from the end of a process to the start of the next one on its host.
+	// The engine may hold any checkpoints meanwhile.
 	longestPause = 150 * time.Second
 	restartGap   = 120 * time.Second
-	// Every fault is over after this long, and a leaving host has left.
+	// longestFault is the time after which every fault has ended and every
+	// leaving host has been removed.
 	longestFault = 260 * time.Second
-	// Between two such absences of one host the process has time to act.
+	// faultPause is the minimum time between two absences of the process of one
+	// host, in which the process can act.
 	faultPause = 30 * time.Second
 )
 
-// history is a random run of faults and requests.
+// history is a random sequence of faults and requests.
 type history struct {
 	*fleet
 	rt       *rapid.T
@@ -62,10 +65,10 @@
 	version  int
 }
 
-// Any of the faults of the brief may come at any moment, together or twice.
-// Whatever the history, the referee sees no broken promise after any step, and
-// once the faults are over every decided slot has a living owner within the
-// stated bound, and serves.
+// Guards against invariant violations in random histories, in which any fault can
+// occur at any time, also repeatedly or together with others. The Checker must
+// find no violation after any step, and after the faults every decided slot must
+// have a live owner within ownerBound and serve requests.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHistory(rt)
@@ -118,7 +121,7 @@
 	}
 }
 
-// recover ends all faults and checks that the fleet comes back.
+// recover ends all faults and checks that the fleet recovers.
 func (h *history) recover() {
 	h.KV.SetDown(false)
 	h.KV.LoseAnswers(0)
@@ -160,7 +163,7 @@
 
 func (h *history) entry() *harness.Process { return h.processes[entryID(h.pick("entry", h.entries))] }
 
-// live lists the engine hosts whose processes run.
+// live lists the agent processes that are alive on engine hosts.
 func (h *history) live() []*harness.Process {
 	var all []*harness.Process
 	for i := range h.engines {
@@ -179,7 +182,8 @@
 	return all[h.pick("host", len(all))]
 }
 
-// absent draws an engine host whose process may go away now.
+// drawFaultableHost draws an engine host whose process may be paused or killed
+// now.
 func (h *history) drawFaultableHost() *harness.Process {
 	p := h.engine()
 	if h.Now() < h.quietAt[p.Host.ID] || p.Paused() {
@@ -242,7 +246,7 @@
 	}
 }
 
-// stop ends a process gracefully; the platform starts the next release.
+// stop stops a process gracefully; the platform starts the next one.
 func (h *history) stop() { h.engine().Stop(h.duration("limit", time.Minute)) }
 
 func (h *history) outage() {
@@ -260,7 +264,7 @@
 	h.cutFor(h.entry().Host.ID, h.engine().Host.ID, h.duration("cut", 150*time.Second))
 }
 
-// isolate parts a host from every entry.
+// isolate separates a host from every entry.
 func (h *history) isolate() {
 	host, d := h.engine().Host.ID, h.duration("cut", 150*time.Second)
 	for i := range h.entries {
@@ -321,8 +325,8 @@
 	h.Abandon(h.outcomes[h.pick("request", len(h.outcomes))])
 }
 
-// configure changes a version or a limit. A base's limit stays while adapters
-// are declared on it; see TestBaseLimitChangeMovesAdapters.
+// configure changes a version or a limit. The limit of a base with adapters does
+// not change here; see TestBaseLimitChangeMovesAdapters.
 func (h *history) configure() {
 	h.version++
 	version := fmt.Sprintf("v%d", 1+h.version%3)
--- a/internal/harness/kv.go
+++ b/internal/harness/kv.go
@@ -9,15 +9,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// KV is the fake KV service, with its faults.
+// KV is the fake KV service with fault injection.
 type KV struct {
 	world    *World
 	values   map[string]record
 	leases   map[int64]core.Time
 	revision int64
-	// Calls counts calls by kind.
+	// Calls counts calls by operation.
 	Calls map[string]int
-	// BytesWritten counts the bytes of accepted values.
+	// BytesWritten is the total size of accepted values.
 	BytesWritten int
 	down         bool
 	unreachable  map[core.HostID]bool
@@ -38,7 +38,8 @@
 	}
 }
 
-// SetDown begins or ends an outage for everybody. Leases lapse at its end.
+// SetDown starts or ends an outage for all processes. Leases that ran out
+// during the outage expire at its end.
 func (k *KV) SetDown(down bool) {
 	k.down = down
 	for _, p := range k.watchers {
@@ -50,7 +51,7 @@
 	}
 }
 
-// CutOff parts one host from the KV service.
+// CutOff makes the KV service unreachable for one host, or reachable again.
 func (k *KV) CutOff(host core.HostID, cut bool) {
 	k.unreachable[host] = cut
 	p := k.world.processes[host]
@@ -60,10 +61,11 @@
 	}
 }
 
-// LoseAnswers makes the next n writes take effect while their answer is lost.
+// LoseAnswers loses the answers of the next n writes; accepted writes take
+// effect.
 func (k *KV) LoseAnswers(n int) { k.loseAnswers = n }
 
-// Value returns the value of a key, for tests.
+// Value returns the stored value of a key; tests use it.
 func (k *KV) Value(key string) []byte { return k.values[key].value }
 
 func (k *KV) attach(p *Process) {
@@ -85,7 +87,8 @@
 	k.resend(p)
 }
 
-// resend gives a watcher all current values, and the absence of the steward.
+// resend sends all current values to a watcher, and an empty steward key if
+// there is no steward.
 func (k *KV) resend(p *Process) {
 	for _, key := range core.SortedKeys(k.values) {
 		k.notify(p, key)
@@ -128,7 +131,7 @@
 	}
 }
 
-// call serves one KV effect of a process.
+// call carries out a KV effect of a process.
 func (k *KV) call(p *Process, effect core.Effect) {
 	inc := p.Incarnation
 	answer := func(after time.Duration, r core.KVResult) {
@@ -201,7 +204,7 @@
 	return core.KVResult{Tag: e.Tag, Key: e.Key, Value: e.Value, Revision: k.revision}
 }
 
-// ttls of leases are kept beside their ends so that a renewal knows its term.
+// grant sets the expiry of a lease and stores its TTL, which a renewal needs.
 func (k *KV) grant(lease int64, ttl time.Duration) {
 	k.leases[lease] = k.world.now.Add(ttl)
 	k.values[ttlKey(lease)] = record{revision: int64(ttl)}
@@ -222,7 +225,7 @@
 	return core.KVResult{Tag: e.Tag, Lease: e.Lease}
 }
 
-// expire ends due leases and deletes the keys bound to them.
+// expire removes expired leases and the keys attached to them.
 func (k *KV) expire() {
 	for _, lease := range core.SortedKeys(k.leases) {
 		if k.leases[lease] > k.world.now {
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -6,16 +6,17 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// linkKey names an entry-agent pair.
+// linkKey identifies a connection by the hosts of its two ends.
 type linkKey struct{ dialler, listener core.HostID }
 
-// link is a standing connection. Messages keep their order.
+// link is an established connection. It preserves the order of messages.
 type link struct {
 	key                linkKey
 	dialler, listener  *Process
 	dialInc, listenInc core.Incarnation
 	closed             bool
-	// silent: something between the ends has lost track of the connection.
+	// silent is set when the network drops all messages of this connection
+	// without closing it.
 	silent           bool
 	delay            time.Duration
 	lastToD, lastToL core.Time
@@ -28,9 +29,9 @@
 	return crossZoneDelay
 }
 
-// Cut makes the network between two hosts lose everything, silently. A
-// connection that stood when the cut began never carries anything again, also
-// after the cut is over; new ones do.
+// Cut starts or ends a network partition between two hosts, which drops all
+// messages without an error. A connection established before the partition
+// stays unusable after its end; new connections work.
 func (w *World) Cut(a, b core.HostID, cut bool) {
 	for _, key := range []linkKey{{a, b}, {b, a}} {
 		w.cuts[key] = cut
@@ -40,8 +41,8 @@
 	}
 }
 
-// Silence makes the connection between two hosts go silent for good, while new
-// ones work.
+// Silence makes the established connection between two hosts drop all messages
+// permanently. New connections work.
 func (w *World) Silence(a, b core.HostID) {
 	for _, key := range []linkKey{{a, b}, {b, a}} {
 		if l := w.links[key]; l != nil {
@@ -50,8 +51,8 @@
 	}
 }
 
-// Break ends the connection between two hosts, as either end does when its pings go
-// unanswered: what is on its way is lost, and a new connection works.
+// Break closes the connection between two hosts, as either end does when its
+// pings are not answered. Messages in transit are lost; new connections work.
 func (w *World) Break(a, b core.HostID) {
 	for _, key := range []linkKey{{a, b}, {b, a}} {
 		if l := w.links[key]; l != nil {
@@ -67,7 +68,7 @@
 	}
 }
 
-// endSilent is both ends' finding that pings are not answered.
+// timeOut closes a connection at both ends because pings are not answered.
 func (w *World) timeOut(l *link) {
 	if l.closed {
 		return
@@ -77,7 +78,7 @@
 	l.listener.postTo(l.listenInc, core.PeerDown{Peer: l.key.dialler})
 }
 
-// linksOf returns the standing connections of a process.
+// linksOf returns the established connections of a process.
 func (w *World) linksOf(p *Process) []*link {
 	var all []*link
 	for _, host := range w.order {
@@ -90,7 +91,7 @@
 	return all
 }
 
-// postAs posts to the given incarnation only.
+// postTo posts an event if incarnation is still the current one.
 func (p *Process) postTo(incarnation core.Incarnation, event core.Event) {
 	if p.Incarnation == incarnation {
 		p.post(event)
@@ -151,7 +152,8 @@
 	w.reportPeerDown(l.listener, l.listenInc, from.Host.ID, after, false)
 }
 
-// tellDown reports the end of a connection unless a newer one stands by then.
+// reportPeerDown reports the end of a connection after a delay, unless a newer
+// connection to the peer has been established by then.
 func (w *World) reportPeerDown(to *Process, incarnation core.Incarnation, peer core.HostID, after time.Duration, planned bool) {
 	w.After(after, func() {
 		if w.links[linkKey{to.Host.ID, peer}] == nil && w.links[linkKey{peer, to.Host.ID}] == nil {
@@ -160,8 +162,8 @@
 	})
 }
 
-// dropLinks ends all connections of a process that ended. In a planned end the other
-// side gets all that was sent to it, then the word of the end.
+// dropLinks closes all connections of a process that ended. After a planned end
+// the peer first receives all messages sent to it and then the PeerDown.
 func (w *World) dropLinks(p *Process, after time.Duration, planned bool) {
 	for _, l := range w.linksOf(p) {
 		other, inc, last := l.listener, l.listenInc, l.lastToL
--- a/internal/harness/memory_test.go
+++ b/internal/harness/memory_test.go
@@ -7,11 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Impatient callers come all at once and are refused, because the load takes
-// longer than they wait; their refusals ask for the load all the same. Once
-// the model was idle for long and is unloaded, it must not come back by
-// itself: nobody called it, and another model's callers would be refused for
-// want of memory.
+// Guards against a reload of an unloaded model without a request. Callers with
+// a timeout shorter than the load are refused, but their requests still start
+// the load. If the model were loaded again after it was unloaded as idle,
+// requests for another model would be refused for lack of memory.
 func TestUnloadedModelIsNotReloaded(t *testing.T) {
 	f := newFleet(t, 40, shortTimings())
 	for range 4 {
--- a/internal/harness/moves_test.go
+++ b/internal/harness/moves_test.go
@@ -9,15 +9,16 @@
 	"nutmeglane.example/nutmeglane/internal/harness"
 )
 
-// The bounds after which every slot has a live owner again, in these timings:
-// the fence comes at most Tenure + TenureMargin after the last renewal was
-// seen and never within Grace of the KV service's return; then come two
-// roster intervals for the write and the look that follows.
+// ownerBound returns the time within which every slot has a live owner again.
+// An owner is fenced at most Tenure + TenureMargin after its last observed
+// renewal and never within Grace after the KV service's return. Two roster
+// intervals are added for the write and the check that follows.
 func ownerBound(t core.Timings) time.Duration {
 	return max(t.Tenure+t.TenureMargin, t.Grace) + 2*t.RosterInterval
 }
 
-// ownedBy tells whether the slot is owned by a process other than the given.
+// movedFrom returns a condition that holds when a host other than from owns the
+// slot.
 func (f *fleet) movedFrom(model string, index uint16, from core.HostID) func() bool {
 	return func() bool {
 		s := f.slot(model, index)
@@ -30,10 +31,11 @@
 	if !f.RunUntil(d, condition) {
 		f.t.Fatalf("not within %v: %s", d, what)
 	}
-	f.RunFor(500 * time.Millisecond) // watches and grants tell of it
+	f.RunFor(500 * time.Millisecond) // watches and grants arrive
 }
 
-// serves sends requests for a model to both entries and expects whole answers.
+// expectServed sends requests for a target to both entries and expects complete
+// answers.
 func (f *fleet) expectServed(target core.Target) {
 	f.t.Helper()
 	all := f.burst(target, 2)
@@ -41,10 +43,10 @@
 	f.expectAnswered(all...)
 }
 
-// A section chief's first call wakes an idle model. The owner decides to load
-// and is paused right there, for longer than its tenure; the slot goes to
-// another host, which loads. Then the old owner wakes with its order in hand.
-// Sent, the order would load a second replica where one was decided.
+// Guards against a late load order. The owner decides to load a model for a
+// first request and is paused before the order is sent, for longer than its
+// tenure. The slot moves to another host, which loads. If the old owner sent its
+// order when it resumes, a second replica would be loaded where one was decided.
 func TestOwnerPausedBeforeItsOrder(t *testing.T) {
 	for _, model := range []string{"m2", "m5"} {
 		f := newFleet(t, 2, shortTimings())
@@ -53,15 +55,15 @@
 		f.call("e0", modelTarget(model), 5)
 		f.waitFor(ownerBound(f.timings)+f.timings.Tenure, "slot moved", f.movedFrom(model, 0, owner.Host.ID))
 		f.expectServed(modelTarget(model))
-		f.RunFor(3 * time.Minute) // the old owner wakes
+		f.RunFor(3 * time.Minute) // the old owner resumes
 		f.expectServed(modelTarget(model))
 		f.finish()
 	}
 }
 
-// The owner of a loaded model is paused for a while, shorter than its tenure.
-// Callers of the model wait or are refused, but nobody else loads it; when the
-// owner wakes, its replica serves on.
+// Guards against a needless move. The owner of a loaded model is paused for less
+// than its tenure. Meanwhile requests wait or are refused, but no other host
+// may load the model; after the pause the replica must serve again.
 func TestOwnerPausedBriefly(t *testing.T) {
 	f := newFleet(t, 3, shortTimings())
 	f.expectServed(modelTarget("m2"))
@@ -72,15 +74,16 @@
 	f.RunFor(70 * time.Second)
 	f.expectServed(modelTarget("m2"))
 	if f.Checker.Loads != loads {
-		t.Errorf("%d loads more", f.Checker.Loads-loads)
+		t.Errorf("%d additional loads", f.Checker.Loads-loads)
 	}
 	f.finish()
 }
 
-// The network parts a host from every entry while its model is loaded. Nobody
-// can ask it or its engine anything, so its slot stays with it until the cut is
-// over. It has unloaded at the end of its tenure, by its own clock, which here
-// runs slow by 200 ppm; nobody can know that, and no second replica is loaded.
+// Guards against a second replica when a network partition separates the owner
+// of a loaded model from every entry. Neither the owner nor its engine can be
+// queried, so the slot must stay with the owner until the partition ends. The
+// owner must unload at the end of its tenure by its own clock, which here runs
+// slow by 200 ppm. The entries cannot verify this, so nobody else may load.
 func TestIsolatedOwnerUnloads(t *testing.T) {
 	f := newFleet(t, 4, shortTimings())
 	f.expectServed(modelTarget("m2"))
@@ -92,25 +95,25 @@
 	loads := f.Checker.LoadsByKey["m2@v1"]
 	f.RunFor(ownerBound(f.timings))
 	if owner.Engine.Loaded("m2@v1") {
-		t.Error("the cut-off owner kept its replica")
+		t.Error("the isolated owner kept its replica")
 	}
 	f.RunFor(5 * time.Minute)
 	if f.movedFrom("m2", 0, owner.Host.ID)() || f.Checker.LoadsByKey["m2@v1"] != loads {
-		t.Error("the slot moved although nobody could ask the engine")
+		t.Error("the slot moved although the engine could not be queried")
 	}
 	f.Cut("e0", owner.Host.ID, false)
 	f.Cut("e1", owner.Host.ID, false)
 	f.RunFor(time.Minute)
 	if owner.Incarnation == incarnation {
-		t.Error("the fenced process stays, so that its accelerators are lost for good")
+		t.Error("the fenced process did not exit, so its accelerators stay unused")
 	}
 	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
-// The platform reclaims a host in the middle of a load. Its callers must not
-// be left waiting for an answer that can't come, and the model comes up
-// elsewhere once the lagging host list shows the loss.
+// Guards against callers that get no answer because the platform reclaims a
+// host during a load. The model must be loaded on another host once the delayed
+// host list shows the loss.
 func TestHostReclaimedDuringLoad(t *testing.T) {
 	f := newFleet(t, 5, shortTimings())
 	owner := f.owner("m5", 0)
@@ -128,9 +131,10 @@
 	f.finish()
 }
 
-// An agent is replaced (new release) while its engine stays up with a model
-// loaded. The new process must find the replica and serve from it: a second
-// load would overcommit the engine, an unload would cost a cold start.
+// Guards against a reload when an agent process is replaced by a new release
+// while its engine keeps a model loaded. The new process must use the existing
+// replica: a second load would overcommit the engine, and an unload would cause
+// a cold start.
 func TestAgentReplacedWhileEngineStays(t *testing.T) {
 	f := newFleet(t, 6, shortTimings())
 	f.expectServed(modelTarget("m3"))
@@ -149,8 +153,9 @@
 	f.finish()
 }
 
-// An agent dies while its engine loads; the new one starts while the load is
-// still under way, with an order of its predecessor possibly on its way.
+// Guards against a second load when an agent dies while its engine loads. The
+// new process starts during the load, and an order of its predecessor may still
+// be in transit.
 func TestAgentReplacedDuringLoad(t *testing.T) {
 	f := newFleet(t, 7, shortTimings())
 	owner := f.owner("m5", 0)
@@ -163,8 +168,9 @@
 	f.finish()
 }
 
-// The answer to an order is lost though the load took effect. The agent must
-// neither free the memory nor order a second load before it knows.
+// Guards against wrong memory accounting when the answer to a load order is
+// lost although the load took effect. The agent must neither free the memory nor
+// order a second load until it knows the result.
 func TestOrderAnswerLost(t *testing.T) {
 	f := newFleet(t, 8, shortTimings())
 	owner := f.owner("m5", 0)
@@ -175,8 +181,8 @@
 	f.finish()
 }
 
-// A load dies midway, twice. The callers wait within their deadline for the
-// third try or are told that the model could not be loaded.
+// Guards against requests that fail because a load failed halfway. Two loads
+// fail; the requests must wait for the third attempt within their deadline.
 func TestLoadDiesMidway(t *testing.T) {
 	f := newFleet(t, 9, shortTimings())
 	f.owner("m5", 0).Engine.FailLoads(2)
@@ -186,8 +192,9 @@
 	f.finish()
 }
 
-// A host is marked as leaving. Its agent takes no new work, its slots move to
-// hosts that stay, and it exits before its limit with nothing cut off.
+// Guards against requests that are aborted when a host is marked as leaving. The
+// agent accepts no new work, its slots move to the remaining hosts, and it must
+// exit before its limit without aborting a run.
 func TestLeavingHostHandsOver(t *testing.T) {
 	f := newFleet(t, 10, shortTimings())
 	for _, name := range []string{"m1", "m2", "m3"} {
@@ -204,16 +211,16 @@
 	}
 	for _, s := range f.slots() {
 		if s.Owner == leaving.Host.ID {
-			t.Errorf("%v still names the host that left", s)
+			t.Errorf("slot %v is still owned by the host that left", s)
 		}
 	}
 	f.expectServed(modelTarget("m3"))
 	f.finish()
 }
 
-// A host leaves that holds slots which fit nowhere else. Its agent must not
-// wait out its whole limit for a successor that does not exist: the slots
-// become vacant, and are placed again when a host comes.
+// Guards against an agent that uses up its whole time limit on a leaving host
+// whose slots fit on no other host. The slots must become vacant instead of
+// waiting for a new owner, and must be placed when a host is added.
 func TestLeavingHostWithoutSuccessor(t *testing.T) {
 	f := emptyFleet(t, 11, shortTimings())
 	f.startEntry(0)
@@ -235,9 +242,8 @@
 	f.finish()
 }
 
-// A version changes while callers come. The old replicas drain and unload
-// before the new version loads in their place, so that a roll never takes
-// more replicas or memory than decided.
+// Guards against extra replicas or memory during a version change under load.
+// The old replicas must drain and unload before the new version is loaded.
 func TestVersionRoll(t *testing.T) {
 	f := newFleet(t, 12, shortTimings())
 	f.expectServed(modelTarget("m0"))
@@ -255,8 +261,8 @@
 	f.finish()
 }
 
-// An operator lowers a limit while all replicas are loaded. The old limit is
-// never exceeded on the way, and the new one is reached.
+// Guards against a lowered limit that is not reached when all replicas are
+// loaded. The old limit must not be exceeded meanwhile.
 func TestLowerModelLimit(t *testing.T) {
 	f := newFleet(t, 13, shortTimings())
 	f.declare(model("m0", "v1", 8<<10, api.ReplicaLimits{Min: 3, Max: 3}))
@@ -273,8 +279,9 @@
 	f.finish()
 }
 
-// The limit is lowered while a slot below it has lost its host. It must not be
-// placed anew beside the slot above the limit, whose owner still holds it.
+// Guards against too many replicas when the limit is lowered while a slot below
+// it is vacant because its host was reclaimed. The vacant slot must not be
+// placed while the slot above the limit still has an owner.
 func TestLowerLimitWithVacantSlot(t *testing.T) {
 	f := newFleet(t, 41, shortTimings())
 	f.declare(model("m3", "v1", 12<<10, api.ReplicaLimits{Min: 2, Max: 2}))
@@ -297,7 +304,8 @@
 	f.finish()
 }
 
-// The same for an adapter, whose places follow from the configuration alone.
+// Guards against too many copies of an adapter when its limit is lowered. The
+// slots of an adapter depend on the configuration only.
 func TestLowerAdapterLimit(t *testing.T) {
 	f := newFleet(t, 14, shortTimings())
 	f.declare(adapter("a1", "m0", "v1", api.ReplicaLimits{Min: 2, Max: 2}))
@@ -312,15 +320,15 @@
 	f.finish()
 }
 
-// The base's limit changes while an adapter is loaded on it: the indexes on
-// which the adapter may be loaded change with it. The owner of a new index
-// must not load a copy while that of an old one still holds its own.
+// Guards against extra adapter copies when the base's limit changes, which also
+// changes the slot indexes on which the adapter may be loaded. The owner of a
+// new index must not load a copy while the owner of an old index still has one.
 func TestBaseLimitChangeMovesAdapters(t *testing.T) {
 	adapters := []string{"a0", "a1", "b0", "b1", "b2", "b3"}
 	for _, change := range []struct{ from, to int }{{3, 1}, {3, 2}, {1, 3}, {2, 3}} {
 		f := newFleet(t, 15, shortTimings())
 		limits := func(n int) api.Resource { return model("m0", "v1", 4<<10, api.ReplicaLimits{Max: n}) }
-		// Together: a base's limit is refused while an adapter's is higher.
+		// Declared together, because a base's limit below an adapter's is refused.
 		declared := []api.Resource{limits(change.from)}
 		for _, name := range adapters {
 			declared = append(declared, adapter(name, "m0", "v1", api.ReplicaLimits{Min: 1, Max: 1}))
@@ -344,9 +352,9 @@
 	}
 }
 
-// The same while calls run on every adapter for longer than the steward takes
-// to write: the new count must wait for the last of them, wherever it runs, and
-// none of them may be cut for it.
+// Guards against requests that are aborted by a change of the base's limit.
+// Requests run on every adapter for longer than the steward's write takes. The
+// new number of indexes must not apply before the last of them has ended.
 func TestBaseLimitChangeWaitsForCalls(t *testing.T) {
 	adapters := []string{"a0", "a1", "b0", "b1", "b2", "b3"}
 	for _, change := range []struct{ from, to int }{{3, 1}, {1, 3}, {2, 3}} {
@@ -375,7 +383,7 @@
 	}
 }
 
-// replicas counts the engines that hold a model or adapter.
+// replicas counts the engines that have version v1 of a model or adapter loaded.
 func (f *fleet) replicas(name string) int {
 	n := 0
 	for _, p := range f.processes {
--- a/internal/harness/outage_test.go
+++ b/internal/harness/outage_test.go
@@ -12,7 +12,7 @@
 
 func (f *fleet) generations() string { return fmt.Sprint(f.slots()) }
 
-// other is the entry that is not in office.
+// standby returns the entry that is not the steward.
 func (f *fleet) standby() *harness.Process {
 	f.t.Helper()
 	if f.steward().Host.ID == "e0" {
@@ -21,10 +21,11 @@
 	return f.processes["e0"]
 }
 
-// The KV service is away for an hour. Tenants go on calling: idle models must
-// wake, and the loaded ones must not be unloaded all at once because nobody
-// can renew. When it is back, the entries in it are an hour old though every
-// agent lives; without the grace, the steward would fence them all.
+// Guards against unloads and slot moves caused by a KV outage of an hour. During
+// the outage idle models must still be loaded on request, and loaded models must
+// not be unloaded because tenures cannot be renewed. After the outage the stored
+// renewals are an hour old although every agent is alive; without the grace
+// period, the steward would fence all agents.
 func TestKVDownForAnHour(t *testing.T) {
 	f := newFleet(t, 20, core.DefaultTimings())
 	f.expectServed(modelTarget("m0"))
@@ -36,24 +37,25 @@
 		f.RunFor(3*time.Minute + 40*time.Second)
 	}
 	if f.replicas("m4") != 1 {
-		t.Error("a model that is kept loaded was unloaded in the outage")
+		t.Error("a model with a minimum of one replica was unloaded during the outage")
 	}
 	loads := f.Checker.Loads
 	f.KV.SetDown(false)
 	f.RunFor(2 * f.timings.Grace)
 	if after := f.generations(); after != before {
-		t.Errorf("slots moved over the outage:\n%s\n%s", before, after)
+		t.Errorf("slots moved because of the outage:\n%s\n%s", before, after)
 	}
 	if f.replicas("m4") != 1 || f.Checker.Loads != loads {
-		t.Error("replicas were unloaded or loaded by the return")
+		t.Error("replicas were unloaded or loaded after the KV service returned")
 	}
 	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
-// The KV service is away for longer than the tenure. Every agent gives up by
-// its own clock and refuses; nobody loads a replica that it may not. After the
-// return all slots are served again within the bound.
+// Guards against replicas loaded without tenure. The KV service is unavailable
+// for longer than the tenure, so every agent must unload by its own clock and
+// refuse requests. After the outage all slots must be served again by the same
+// owners within ownerBound.
 func TestKVDownBeyondTenure(t *testing.T) {
 	f := newFleet(t, 21, shortTimings())
 	f.expectServed(modelTarget("m2"))
@@ -66,7 +68,7 @@
 	refused := f.call("e0", modelTarget("m2"), 5)
 	f.RunFor(5 * time.Second)
 	if !refused.Code.NotRun() || refused.RetryAfter == 0 {
-		t.Errorf("answer %v with Retry-After %v, want a refusal that says when to come back", refused.Code, refused.RetryAfter)
+		t.Errorf("answer %v with Retry-After %v, want a refusal with a Retry-After", refused.Code, refused.RetryAfter)
 	}
 	f.KV.SetDown(false)
 	f.RunFor(ownerBound(f.timings))
@@ -78,17 +80,17 @@
 	f.finish()
 }
 
-// An agent that lives is out of reach for a few seconds just when the KV
-// service returns from a long outage. Its entry is older than any tenure, for
-// nobody could write; without the grace it would be fenced on the spot and all
-// its slots moved.
+// Guards against fencing a live agent that is unreachable for a few seconds when
+// the KV service returns from a long outage. Its stored renewal is older than
+// the tenure, because nobody could write; without the grace period the steward
+// would fence it immediately and move all its slots.
 func TestGraceAfterOutage(t *testing.T) {
 	f := newFleet(t, 31, shortTimings())
 	before := f.generations()
 	f.KV.SetDown(true)
 	f.RunFor(3 * f.timings.Tenure)
 	f.owner("m2", 0).Pause(20 * time.Second)
-	f.RunFor(16 * time.Second) // its connections were given up
+	f.RunFor(16 * time.Second) // its connections have timed out
 	f.KV.SetDown(false)
 	f.RunFor(ownerBound(f.timings))
 	if after := f.generations(); after != before {
@@ -97,7 +99,7 @@
 	f.finish()
 }
 
-// allOwned fails unless every decided slot has an owner that lives.
+// allOwned fails unless every decided slot has a live owner.
 func (f *fleet) allOwned() {
 	f.t.Helper()
 	owned := 0
@@ -114,9 +116,9 @@
 	}
 }
 
-// Several hosts are reclaimed while the KV service is down. Their slots have
-// no owner, and nobody can give them one; after the return they do within the
-// bound.
+// Guards against slots that stay without an owner when hosts are reclaimed while
+// the KV service is down. No owner can be assigned during the outage; after it,
+// every slot must have one within ownerBound.
 func TestReclaimedInOutage(t *testing.T) {
 	f := newFleet(t, 22, shortTimings())
 	f.KV.SetDown(true)
@@ -136,9 +138,9 @@
 	f.finish()
 }
 
-// Writes take effect while their answers are lost, over and over, as slots
-// move away from a leaving host. A steward that took a lost answer for a
-// failure, or for a success, would give a slot to two hosts or to none.
+// Guards against a steward that treats a KV write with a lost answer as failed
+// or as successful: it would assign a slot to two hosts or to none. The answers
+// of many writes are lost while slots move away from a leaving host.
 func TestWriteDoneAnswerLost(t *testing.T) {
 	f := newFleet(t, 23, shortTimings())
 	f.expectServed(modelTarget("m3"))
@@ -156,28 +158,30 @@
 	return func() bool { p := f.currentSteward(); return p != nil && p != old }
 }
 
-// The steward is paused in the middle of its work and another takes the
-// office. The first wakes, believes that it is still in office, and sends what
-// it had decided: its writes must fail and its grants must do no harm.
+// Guards against a former steward. The steward is paused during its work and
+// another entry takes over. When the first one resumes, it still acts as the
+// steward and sends its earlier decisions: its writes must fail and its grants
+// must have no effect.
 func TestPausedStewardResumes(t *testing.T) {
 	f := newFleet(t, 24, shortTimings())
 	f.expectServed(modelTarget("m2"))
 	old := f.steward()
 	moving := f.owner("m2", 0)
 	f.leave(moving.Host.ID)
-	f.RunFor(10100 * time.Millisecond) // the list has told; a plan is due
+	f.RunFor(10100 * time.Millisecond) // the host list has arrived; a plan is due
 	old.Pause(40 * time.Second)
 	f.waitFor(30*time.Second, "another steward", f.successor(old))
 	f.RunFor(25 * time.Second)
 	f.allOwned()
-	f.RunFor(20 * time.Second) // the first one wakes
+	f.RunFor(20 * time.Second) // the first one resumes
 	f.allOwned()
 	f.expectServed(modelTarget("m2"))
 	f.finish()
 }
 
-// Two stewards at once: the one in office is cut from the KV service, not from
-// the agents, and the other takes the office. Agents hear from both.
+// Guards against conflicting decisions of two stewards. The steward loses its
+// connection to the KV service but not to the agents, and the other entry takes
+// over, so agents receive messages from both.
 func TestTwoStewards(t *testing.T) {
 	f := newFleet(t, 25, shortTimings())
 	f.expectServed(modelTarget("m2"))
@@ -194,9 +198,10 @@
 	f.finish()
 }
 
-// The office changes hands often, with both entries holding connections for
-// their callers all the while. Every agent must go on being asked for reports,
-// whoever asked first; one that is forgotten loses its slots with its tenure.
+// Guards against agents that no steward queries after the steward has changed
+// several times while both entries keep connections for their callers. Every new
+// steward must request reports from all agents; an agent that is left out loses
+// its slots at the end of its tenure.
 func TestRepeatedStewardChanges(t *testing.T) {
 	f := newFleet(t, 26, shortTimings())
 	f.enlarge()
@@ -216,8 +221,8 @@
 	f.finish()
 }
 
-// enlarge gives every engine room for all that its slots may load, so that no
-// slot is crowded out and moves for that reason.
+// enlarge gives every engine enough memory for all its slots, so that no slot
+// moves for lack of memory.
 func (f *fleet) enlarge() {
 	for _, p := range f.processes {
 		if p.Engine != nil {
@@ -227,8 +232,8 @@
 	f.RunFor(2 * time.Minute) // agents take an inventory each minute
 }
 
-// The only entry in reach of the agents loses the KV service, then a caller
-// comes: slots known before serve on.
+// Guards against refusals by an entry that has lost its connection to the KV
+// service. It must serve requests from the slot table that it received before.
 func TestEntryCutFromKVOnly(t *testing.T) {
 	f := newFleet(t, 27, shortTimings())
 	other := f.standby().Host.ID
@@ -241,10 +246,10 @@
 	f.finish()
 }
 
-// One host is parted from the steward's entry but not from the other. The
-// other can't renew for it, so it gives up at the end of its tenure, and says
-// so to callers instead of letting them wait. The steward can't ask its engine
-// either, so the slot moves only after the cut is over.
+// Guards against an unsafe move when a network partition separates a host from
+// the steward but not from the other entry. The other entry cannot renew the
+// tenure, so the host must unload at the end of its tenure. The steward cannot
+// query the engine, so the slot must move only after the partition has ended.
 func TestHostCutFromSteward(t *testing.T) {
 	f := newFleet(t, 28, shortTimings())
 	f.expectServed(modelTarget("m2"))
@@ -256,7 +261,7 @@
 	f.expectAnswered(o)
 	f.RunFor(ownerBound(f.timings))
 	if f.movedFrom("m2", 0, owner)() || !f.processes[owner].Engine.Empty() {
-		t.Error("the slot moved unasked, or the owner kept its replica")
+		t.Error("the slot moved without a query of the engine, or the owner kept its replica")
 	}
 	f.Cut(f.steward().Host.ID, owner, false)
 	f.waitFor(ownerBound(f.timings), "slot owned again", func() bool {
@@ -267,8 +272,8 @@
 	f.finish()
 }
 
-// Pairs of faults at the same time, in every combination: whatever the pair,
-// no promise is broken, and afterwards every slot has an owner and serves.
+// Guards against invariant violations and slots without an owner after two
+// simultaneous faults, in every combination.
 func TestPairsOfFaults(t *testing.T) {
 	faults := map[string]func(f *fleet){
 		"pause owner": func(f *fleet) { f.owner("m5", 0).PauseAtOrder(90 * time.Second) },
@@ -304,7 +309,7 @@
 				f.burst(modelTarget("m5"), 3)
 				f.burst(modelTarget("m1"), 3)
 				f.RunFor(20 * time.Second)
-				f.addEngine(4) // the platform replaces what it reclaimed
+				f.addEngine(4) // the platform replaces the reclaimed hosts
 				f.addEngine(5)
 				f.RunFor(3 * time.Minute)
 				f.allOwned()
@@ -316,9 +321,9 @@
 	}
 }
 
-// A club secretary registers a charge; the connection to the agent goes silent
-// for good while new ones work. The request is not idempotent: it must not run
-// twice, and the caller gets the whole answer over the fresh connection.
+// Guards against a second run or an incomplete answer of a non-idempotent request
+// when the connection to the agent permanently drops all messages. The entry must
+// resume the answer over a new connection.
 func TestSilentConnection(t *testing.T) {
 	f := newFleet(t, 30, shortTimings())
 	f.expectServed(modelTarget("m2"))
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -8,41 +8,40 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Process is one entry or agent. A stopped process keeps its engine; a start
-// gives the host a new incarnation of the process.
+// Process is the entry or agent process of one host. The engine stays when the
+// process stops; Start creates a new incarnation of the process.
 type Process struct {
 	world       *World
 	Host        core.Host
 	Incarnation core.Incarnation
 	Engine      *Engine
 	stepper     Stepper
-	// OnExit is called when the process ends by itself, after a graceful
-	// shutdown.
+	// OnExit is called when the process exits after a graceful shutdown.
 	OnExit func()
 	alive  bool
 	paused bool
-	// backlog holds what reached the process while it was paused.
+	// backlog holds the events and effects deferred while the process is paused.
 	backlog      []func()
 	wakeSequence uint64
-	// pauses counts the pauses; wokeAt is when the last one ended.
+	// pauses counts the pauses; resumedAt is the end of the last one.
 	pauses       int
 	resumedAt    core.Time
 	pauseAtOrder time.Duration
 	revision     int64
-	// rate and offset make the process's own clock.
+	// rate and offset define the local clock: offset + rate * virtual time.
 	rate   float64
 	offset core.Time
-	// outcomes of requests that arrived here (entries).
+	// outcomes holds the requests sent to this incarnation (entries only).
 	outcomes map[core.RequestID]*Outcome
 	Notes    map[string]int
 	Counts   map[core.Counter]float64
 }
 
-// Build makes the reducer of a process.
+// Build creates the reducer of a process.
 type Build func(incarnation core.Incarnation) Stepper
 
-// Start starts a process on a host. An engine is given on the first start of
-// an agent's host and nil later or for entries.
+// Start starts a process on a host. The engine is set on the first start of an
+// agent's host; it is nil on later starts and for entries.
 func (w *World) Start(host core.Host, engine *Engine, build Build) *Process {
 	p := w.processes[host.ID]
 	if p == nil {
@@ -68,7 +67,8 @@
 	return p
 }
 
-// configure puts a configuration in force unless a newer one is.
+// configure puts a configuration in force unless the same or a newer one
+// already is.
 func (p *Process) configure(snapshot *api.Snapshot) {
 	if snapshot != nil && p.alive && snapshot.Revision > p.revision {
 		p.revision = snapshot.Revision
@@ -76,18 +76,19 @@
 	}
 }
 
-// SetClock makes the process's clock run on at a rate of true time.
+// SetClock changes the rate of the process's clock relative to virtual time.
+// The local time does not jump.
 func (p *Process) SetClock(rate float64) {
 	now := p.clock()
 	p.rate = rate
 	p.offset = now - core.Time(float64(p.world.now)*rate)
-	p.post(core.Tick{}) // the wake-up that is set was reckoned by the old rate
+	p.post(core.Tick{}) // the scheduled wake-up was computed with the old rate
 }
 
-// Alive tells whether the process runs (it may be paused).
+// Alive reports whether the process is running. A paused process is alive.
 func (p *Process) Alive() bool { return p.alive }
 
-// Paused tells whether the process is paused.
+// Paused reports whether the process is paused.
 func (p *Process) Paused() bool { return p.paused }
 
 // Dump returns the reducer's state.
@@ -104,13 +105,13 @@
 	return core.Time(float64(local-p.offset)/p.rate) + 1
 }
 
-// post hands an event to this incarnation of the process.
+// post delivers an event to the current incarnation of the process.
 func (p *Process) post(event core.Event) {
 	p.do(func() { p.step(event) })
 }
 
-// do runs f on the process's own time: at once, after its pause, or never if
-// this incarnation ended.
+// do runs f immediately, or after the pause if the process is paused. It drops
+// f if the process is not alive or ends during the pause.
 func (p *Process) do(f func()) {
 	if !p.alive {
 		return
@@ -129,7 +130,7 @@
 		p.pauseAtOrder = 0
 	}
 	for _, effect := range effects {
-		// A pause may fall between a decision and its effect.
+		// A pause can begin between a decision and its effect.
 		p.do(func() { p.execute(effect) })
 	}
 }
@@ -185,8 +186,9 @@
 	})
 }
 
-// Pause freezes the process for d; it wakes with all that reached it. Its
-// peers give their connections up once their pings go unanswered.
+// Pause suspends the process for d. Events that arrive meanwhile are delivered
+// when it resumes. After silenceTimeout, its connections are closed because
+// pings are not answered.
 func (p *Process) Pause(d time.Duration) {
 	if !p.alive || p.paused {
 		return
@@ -217,11 +219,11 @@
 	}
 }
 
-// PauseAtOrder freezes the process for d right after it next decides to order
-// something of its engine and before the order leaves.
+// PauseAtOrder suspends the process for d when it next decides on an order to
+// its engine, before the order is sent.
 func (p *Process) PauseAtOrder(d time.Duration) { p.pauseAtOrder = d }
 
-// Kill ends the process at once; its engine stays as it is.
+// Kill terminates the process immediately. Its engine is not affected.
 func (p *Process) Kill() { p.end(5*time.Millisecond, false) }
 
 func (p *Process) end(noticed time.Duration, planned bool) {
@@ -229,8 +231,8 @@
 	p.world.dropLinks(p, noticed, planned)
 }
 
-// Reclaim takes the host away with its engine. Nobody is told: connections
-// fall silent and the host list lags.
+// Reclaim removes the host and its engine without notice: its connections are
+// not closed but time out, and the host list changes after hostListLag.
 func (p *Process) Reclaim() {
 	p.end(silenceTimeout, false)
 	if p.Engine != nil {
@@ -240,7 +242,8 @@
 	p.world.publishHosts()
 }
 
-// MarkLeaving marks the host as leaving in the host list, late.
+// MarkLeaving marks the host as leaving in the host list. Processes receive the
+// list after hostListLag.
 func (p *Process) MarkLeaving() {
 	host := p.Host
 	host.State = core.HostLeaving
@@ -248,5 +251,5 @@
 	p.world.publishHosts()
 }
 
-// Stop asks the process for a graceful shutdown.
+// Stop requests a graceful shutdown of the process within limit.
 func (p *Process) Stop(limit time.Duration) { p.post(core.Stop{Limit: limit}) }
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -14,23 +14,24 @@
 // frameTokens is the most tokens that the fake engine sends at once.
 const frameTokens = 8
 
-// run is a request that an engine or service works on.
+// run is a request being executed by an engine or service.
 type run struct {
 	order core.Run
 	post  func(core.RunProgress)
-	// next is the token to come, total their number.
+	// next is the index of the next token to send; total is the number of tokens.
 	next, total uint64
 }
 
-// A body holds the number of tokens wanted and the seed of their values, so
-// that an answer shows whose it is and which part of it.
+// bodyOf encodes a request body: the number of tokens wanted and the seed of
+// their values. The seed makes it possible to check that a token belongs to
+// this request and to this position of the answer.
 func bodyOf(tokens, seed uint64) []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, tokens), seed)
 }
 
 func tokenCount(body []byte) uint64 { return binary.BigEndian.Uint64(body) }
 
-// token returns the value of a token of the answer to a body.
+// token returns the value of the token at an index of the answer to a body.
 func token(body []byte, index uint64) byte {
 	seed := binary.BigEndian.Uint64(body[8:])
 	return byte((seed + index) * 0x9e3779b97f4a7c15 >> 56)
@@ -56,7 +57,7 @@
 	})
 }
 
-// emit sends the next tokens and comes back when more are made.
+// emit sends the next tokens of a run and schedules the following batch.
 func (e *Engine) emit(r *run) {
 	if e.running[r.order.Attempt] != r {
 		return
@@ -88,7 +89,7 @@
 	return m
 }
 
-// end forgets a run and reports whether it was running.
+// end removes a run and reports whether it was running.
 func (e *Engine) end(attempt core.AttemptID) bool {
 	r, ok := e.running[attempt]
 	if ok {
@@ -98,7 +99,7 @@
 	return ok
 }
 
-// cutRuns breaks off what runs on a checkpoint that is unloaded.
+// cutRuns aborts the runs on a checkpoint that is being unloaded.
 func (e *Engine) cutRuns(key string) {
 	for _, attempt := range sortedAttempts(e.running) {
 		if r := e.running[attempt]; r.order.Key == key {
--- a/internal/harness/stop_test.go
+++ b/internal/harness/stop_test.go
@@ -12,23 +12,24 @@
 	"nutmeglane.example/nutmeglane/internal/harness"
 )
 
-// Bounds of what is drawn around a planned stop.
+// Bounds of the times drawn for a planned stop.
 const (
-	// stopSpan is the time in which calls, the stop and what disturbs it begin.
+	// stopSpan is the period in which calls, the stop and the faults begin.
 	stopSpan = 4 * time.Second
-	// stopLimit is far beyond what any call takes.
+	// stopLimit is much longer than any call.
 	stopLimit = 30 * time.Second
-	// shortestLimit leaves an agent the time to say what has not begun.
+	// shortestLimit gives an agent enough time to report requests that have not
+	// started.
 	shortestLimit = 100 * time.Millisecond
-	// longestStarved is how long a process may wait for the processor, and
-	// longestUnreachable how long where connections break besides: an entry that can't
-	// connect again within its resume window gives up, whether the agent stops or not.
+	// longestStarved is the maximum time that a process waits for the processor.
+	// longestUnreachable is the maximum where connections break as well: an entry that
+	// cannot reconnect within its resume window gives up even if no agent stops.
 	longestStarved     = 6 * time.Second
 	longestUnreachable = time.Second
 )
 
-// stopHistory is a planned stop among calls that must not be repeated, on hosts that are
-// short of processor time.
+// stopHistory is a random history with a planned stop and calls that must not be
+// repeated, on hosts that are short of processor time.
 type stopHistory struct {
 	*fleet
 	rt    *rapid.T
@@ -46,7 +47,7 @@
 	return time.Duration(rapid.Int64Range(0, int64(most)/1e3).Draw(h.rt, label)) * time.Microsecond
 }
 
-// calling sends calls at random moments of a time, each to one of the entries.
+// scheduleCalls sends calls at random times within stopSpan, each to one of the entries.
 func (h *stopHistory) scheduleCalls() {
 	target := rapid.SampledFrom([]core.Target{serviceTarget, serviceTarget, modelTarget("m0"), modelTarget("m1")}).Draw(h.rt, "target")
 	for range rapid.IntRange(1, 12).Draw(h.rt, "calls") {
@@ -54,14 +55,14 @@
 		tokens := uint64(rapid.IntRange(0, 60).Draw(h.rt, "tokens"))
 		h.After(h.draw("call at", stopSpan), func() {
 			if !h.processes[entry].Alive() {
-				entry = "e1" // no balancer sends to an entry that has ended
+				entry = "e1" // a load balancer skips an entry that has ended
 			}
 			h.calls = append(h.calls, h.callNonIdempotent(entry, target, tokens))
 		})
 	}
 }
 
-// starve keeps some of the processes from the processor for a while.
+// starve suspends some of the processes for up to most, as lack of processor time does.
 func (h *stopHistory) starve(most time.Duration, hosts ...core.HostID) {
 	for _, host := range hosts {
 		if rapid.Bool().Draw(h.rt, "starved "+string(host)) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// breakLinks ends the connections of some of the entries to a host.
+// breakLinks closes the connections of some of the entries to a host, up to twice each.
 func (h *stopHistory) breakLinks(host core.HostID) {
 	for _, entry := range []core.HostID{"e0", "e1"} {
 		for range rapid.IntRange(0, 2).Draw(h.rt, "breaks") {
@@ -80,14 +81,14 @@
 	}
 }
 
-// unrepeatable sends a call that must not run twice.
+// callNonIdempotent sends a call that must not run twice.
 func (f *fleet) callNonIdempotent(entry core.HostID, target core.Target, tokens uint64) *harness.Outcome {
 	return f.Request(entry, core.RequestArrived{
 		ClientAccount: "c", Target: target, Timeout: time.Minute, Method: "POST", Path: "/x",
 	}, tokens)
 }
 
-// wholeOrNotRun checks that no call was cut and none has an outcome that nobody knows.
+// expectWholeOrNotRun checks that each call was answered completely or refused as not run.
 func (f *fleet) expectWholeOrNotRun(calls []*harness.Outcome) {
 	f.t.Helper()
 	for i, o := range calls {
@@ -97,34 +98,34 @@
 	}
 }
 
-// judge checks that the stop cost none of the calls anything.
+// checkStop checks that no call was aborted or got an unknown outcome because of the stop.
 func (h *stopHistory) checkStop() {
 	h.finish()
 	h.expectWholeOrNotRun(h.calls)
 }
 
-// stopCase is a planned stop of s0 among nine calls that e0 and e1 send to it at the same
-// moment. Times count from then.
+// stopCase is a planned stop of s0 at the moment at which e0 and e1 send it nine calls.
+// All times count from that moment.
 type stopCase struct {
 	entries [9]int
-	// e0 is starved for so long after so long, and so is s0.
+	// e0 is suspended at e0At for e0For, and s0 at s0At for s0For.
 	e0At, e0For, s0At, s0For time.Duration
-	// breaks tells whether the connection of e0 and s0 breaks, at breakAt.
+	// breaks is set if the connection of e0 and s0 breaks, at breakAt.
 	breaks  bool
 	breakAt time.Duration
 }
 
 var stopCases = map[string]stopCase{
-	"a call is on its way when the agent ends": {
+	"a call is in transit when the agent exits": {
 		entries: [9]int{0, 0, 1, 0, 0, 1, 0, 0, 0}, e0At: 23 * time.Microsecond, e0For: 2477 * time.Microsecond,
 	},
 	"a call is lost with a connection": {breaks: true},
-	"the last words are lost with a connection": {
+	"the last messages are lost with a connection": {
 		s0At: 479 * time.Microsecond, s0For: 686 * time.Microsecond, breaks: true, breakAt: 1165 * time.Microsecond,
 	},
 }
 
-// Guards against the same as the tests below: histories that they found.
+// Regression cases of histories in which the random tests below found failures.
 func TestPlannedStopRegressions(t *testing.T) {
 	for name, c := range stopCases {
 		t.Run(name, func(t *testing.T) {
@@ -148,9 +149,9 @@
 	}
 }
 
-// Guards against calls whose outcome nobody knows, or that are cut, because an agent was
-// stopped as planned: whichever of its messages was unread, queued or on its way, on
-// whichever busy host.
+// Guards against calls that are aborted or end with an unknown outcome because of a
+// planned stop of an agent, whichever of its messages are unread, queued or in transit on
+// busy hosts.
 func TestAgentStopLosesNoRequest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
@@ -163,7 +164,8 @@
 	})
 }
 
-// The same where a busy host's connections are taken for dead meanwhile, and set up again.
+// Guards against the same failures when connections of a busy host are closed as
+// unresponsive and established again during the stop.
 func TestAgentStopWithBrokenConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
@@ -177,8 +179,8 @@
 	})
 }
 
-// Guards against callers whose requests wait at an agent when their entry ends: told
-// "outcome unknown", they could not send them again.
+// Guards against an unknown outcome for requests that wait at an agent when their entry
+// stops. Their callers could not safely send them again; they must be refused as not run.
 func TestStoppingEntryRefusesQueuedRequests(t *testing.T) {
 	f := newFleet(t, 2, shortTimings())
 	f.declare(resource(api.KindService, "records", &api.ServiceSpec{MaxConcurrent: 1}))
@@ -197,16 +199,17 @@
 		case o.Code.NotRun():
 			refused++
 		case !f.Checker.Ran(o.ID):
-			t.Errorf("call %d never ran and its caller was told %v", i, o.Code)
+			t.Errorf("call %d never ran but ended with %v", i, o.Code)
 		}
 	}
 	if refused < 3 {
-		t.Errorf("%d refused as not run, want those that could not begin in time", refused)
+		t.Errorf("%d refused as not run, want those that could not start in time", refused)
 	}
 	f.finish()
 }
 
-// The same of an entry: what it holds ends before it does.
+// Guards against calls that are aborted or end with an unknown outcome because of a
+// planned stop of an entry. The entry must finish its requests before it exits.
 func TestEntryStopLosesNoRequest(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
@@ -218,7 +221,8 @@
 	})
 }
 
-// The same of an entry whose time is too short for some: a call that never ran is told so.
+// Guards against an unknown outcome for calls that never ran when the time limit of an
+// entry's stop is too short for them. They must be refused as not run.
 func TestShortEntryStopReportsNotRun(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newStopHistory(rt)
--- a/internal/harness/store.go
+++ b/internal/harness/store.go
@@ -7,8 +7,10 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Store is the fake weight store: Lanes reads at full speed, more share the
-// bandwidth of that many, and LoadsPerSecond admits new ones in order.
+// Store is the fake weight store. Up to Lanes concurrent reads run at
+// MiBPerSecond each; more reads share the bandwidth of Lanes reads.
+// LoadsPerSecond limits the rate at which reads start (0: no limit); they start
+// in order of arrival.
 type Store struct {
 	world          *World
 	Lanes          int
@@ -18,20 +20,22 @@
 	reads          []*read
 	advancedAt     core.Time
 	epoch          int
-	// Loads counts reads begun, Busiest is the most at once.
+	// Loads counts started reads; Busiest is the maximum number of concurrent
+	// reads.
 	Loads, Busiest int
 }
 
-// read is a checkpoint on its way.
+// read is a checkpoint being read.
 type read struct {
 	left float64 // MiB
 	done func()
 }
 
-// tinyMiB is the rest of a read that counts as none, for rounding.
+// roundingMiB is the remaining size at which a read counts as complete; it
+// absorbs rounding errors.
 const roundingMiB = 1e-6
 
-// Read calls done once size MiB came from the store.
+// Read calls done when size MiB have been read from the store.
 func (s *Store) Read(size int64, done func()) {
 	now, wait := s.world.now, time.Duration(0)
 	if s.LoadsPerSecond > 0 {
@@ -48,12 +52,12 @@
 	})
 }
 
-// rate is the speed of each read now.
+// rate returns the present rate of each read in MiB/s.
 func (s *Store) rate() float64 {
 	return s.MiBPerSecond * min(1, float64(s.Lanes)/float64(max(1, len(s.reads))))
 }
 
-// move brings all reads forward to now.
+// advance updates the remaining sizes of all reads to the present time.
 func (s *Store) advance() {
 	moved := s.world.now.Sub(s.advancedAt).Seconds() * s.rate()
 	s.advancedAt = s.world.now
@@ -62,7 +66,8 @@
 	}
 }
 
-// plan waits for the read that ends next at the present speed.
+// scheduleNext schedules the end of the read that completes first at the present
+// rate. It replaces the previous schedule.
 func (s *Store) scheduleNext() {
 	s.epoch++
 	if len(s.reads) == 0 {
--- a/internal/harness/world.go
+++ b/internal/harness/world.go
@@ -1,9 +1,9 @@
-// Package harness runs the reducers of a few processes in virtual time over
-// tiny in-memory fakes of what they touch: connections, the KV service, the
-// weight store, engines and callers. It serves the failure tests and the
-// policy measurements: a run is a function of its seed, so that each finding
-// can be repeated. It knows nothing of how the parts decide; its referee only
-// looks at what the fakes saw.
+// Package harness runs the reducers of a few processes in virtual time on
+// small in-memory fakes of their dependencies: connections, the KV service,
+// the weight store, engines and callers. The failure tests and the policy
+// measurements use it. A run is a function of its seed, so every failure is
+// reproducible. The package does not depend on how the processes decide; its
+// Checker only evaluates what the fakes observed.
 package harness
 
 import (
@@ -15,7 +15,7 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// Stepper is a reducer, as package machine builds it.
+// Stepper is a reducer as built by package machine.
 type Stepper interface {
 	Step(now core.Time, event core.Event) []core.Effect
 	Dump() map[string]any
@@ -29,12 +29,13 @@
 	kvTimeout      = time.Second          // until an unreachable KV call fails
 	watchDelay     = 5 * time.Millisecond
 	dialTimeout    = 2 * time.Second
-	// silenceTime is when a connection that went silent is given up.
+	// silenceTimeout is the time after which both ends close a connection on
+	// which nothing arrives.
 	silenceTimeout = 15 * time.Second
-	// configSpread is the longest time from the acceptance of a configuration
+	// configSpread is the maximum time from the acceptance of a configuration
 	// until it is in force at a process.
 	configSpread = time.Second
-	// hostListLag is how far the platform's host list lags.
+	// hostListLag is the delay of the platform's host list.
 	hostListLag = 10 * time.Second
 )
 
@@ -45,10 +46,10 @@
 	sequence  uint64
 	rand      *rand.Rand
 	processes map[core.HostID]*Process
-	// order lists process hosts in the order of their first start.
+	// order lists the hosts of processes in the order of their first start.
 	order []core.HostID
 	hosts map[core.HostID]core.Host
-	// published is the host list that processes see.
+	// published is the host list last delivered to the processes.
 	published core.HostList
 	snapshot  *api.Snapshot
 	links     map[linkKey]*link
@@ -76,7 +77,8 @@
 // Now returns the virtual time.
 func (w *World) Now() core.Time { return w.now }
 
-// Rand returns the world's seeded generator, for drawing faults and arrivals.
+// Rand returns the world's seeded random generator, used to draw faults and
+// arrivals.
 func (w *World) Rand() *rand.Rand { return w.rand }
 
 // After runs f once d has passed.
@@ -87,7 +89,7 @@
 	heap.Push(&w.pending, action{at: t, sequence: w.sequence, run: f})
 }
 
-// RunFor lets d pass.
+// RunFor advances the virtual time by d and runs all actions due until then.
 func (w *World) RunFor(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.pending) > 0 && w.pending[0].at <= end {
@@ -96,8 +98,8 @@
 	w.now = end
 }
 
-// RunUntil lets time pass until the condition holds, at most d. It reports
-// whether the condition held.
+// RunUntil advances the virtual time until the condition holds, but by at most
+// d. It reports whether the condition holds.
 func (w *World) RunUntil(d time.Duration, condition func() bool) bool {
 	end := w.now.Add(d)
 	for !condition() {
@@ -117,8 +119,8 @@
 	w.Checker.check(w)
 }
 
-// SetConfig puts a configuration in force at every process, at each within a
-// second, and at each later start.
+// SetConfig puts a configuration in force at every running process within
+// configSpread, and at every process that starts later.
 func (w *World) SetConfig(snapshot *api.Snapshot) {
 	w.snapshot = snapshot
 	w.Checker.configAccepted(snapshot)
@@ -128,8 +130,8 @@
 	}
 }
 
-// publishHosts sends the host list as it is now to every process, late but for
-// the hosts that are there from the beginning.
+// publishHosts sends the current host list to every process after hostListLag.
+// Hosts present at time 0 are sent without delay.
 func (w *World) publishHosts() {
 	list := core.HostList{}
 	for _, id := range core.SortedKeys(w.hosts) {
@@ -149,7 +151,7 @@
 	}
 }
 
-// action is something that happens at a time; actions of equal time run in
+// action is a function scheduled for a time. Actions with equal times run in
 // the order in which they were scheduled.
 type action struct {
 	at       core.Time
