--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -19,38 +19,40 @@
 
 // The script commands:
 //
-//	platform                     start the stand-ins kv, store and hosts
-//	spawn NAME PROGRAM ARGS...   start a process and wait until it listens; its
-//	                             addresses go to $NAME or $NAME_callers,
-//	                             $NAME_operators and $NAME_peers
-//	entry NAME ZONE [FLAG...]    start an entry against $kv and $hosts
+//	platform                     start the platform stand-ins kv, store and hosts
+//	spawn NAME PROGRAM ARGS...   start a process and wait until it listens; set
+//	                             $NAME, or $NAME_callers, $NAME_operators and
+//	                             $NAME_peers, to its addresses
+//	entry NAME ZONE [FLAG...]    start an entry that uses $kv and $hosts
 //	agent NAME ZONE engine|SERVICE ADDRESS [FLAG...]
-//	                             start an agent and add it to the host list, at
-//	                             $NAME_advertise if that is set
+//	                             start an agent and add it to the host list, with
+//	                             the address $NAME_advertise if that is set
 //	signal NAME SIGNAL           send TERM, KILL, STOP or CONT
-//	exits NAME STATUS            wait for the process to end
+//	exits NAME STATUS            wait for the process to exit with the status
 //	await URL REGEXP             poll a page until it matches
-//	post URL BODY                POST, expecting success
-//	sum WANT FIELD URL...        add up a JSON field of pages, which gives WANT
-//	reach WANT FIELD URL...      the same, polling until it does
+//	post URL BODY                send a POST request, which must succeed
+//	sum WANT FIELD URL...        check that the sum of a JSON field of the pages
+//	                             is WANT
+//	reach WANT FIELD URL...      poll until that sum is WANT
 //	chat ID ENTRY KEY MODEL@VERSION PROMPT TOKENS [HEADER=VALUE...]
 //	                             start a streamed completion in the background
 //	begun ID                     wait for the first token
-//	ended ID                     wait for the end, whatever it is
-//	whole ID                     wait for the end and check the whole answer
-//	refused ID CODE              wait for an end with the result code
+//	ended ID                     wait for the end with any result
+//	whole ID                     wait for the end and check that the answer is
+//	                             complete and correct
+//	refused ID CODE              wait for the end and check the result code
 //	call ID ENTRY KEY METHOD PATH [HEADER=VALUE...]
 //	                             start a service call in the background
-//	answered ID STATUS           wait for its answer
-//	insist ID ...                as chat, and come back when Retry-After says
-//	slow ID ...                  as chat, but read no more after the first token
-//	takes ID                     let a slow reader read on
-//	relay NAME ADDRESS           start a TCP relay at $NAME, or aim it anew
-//	blackhole NAME in|out        let its open connections lose all that goes
-//	                             from (in) or to (out) the dialling process
-//	balance NAME ADDRESS...      as relay, to an address that says it is ready
+//	answered ID STATUS           wait for its complete answer with the status
+//	insist ID ...                as chat, but repeat after each Retry-After
+//	slow ID ...                  as chat, but stop reading after the first token
+//	takes ID                     make a slow reader continue reading
+//	relay NAME ADDRESS           start a TCP relay at $NAME, or change its target
+//	blackhole NAME in|out        make its open connections drop all data from
+//	                             (in) or to (out) the dialling process
+//	balance NAME ADDRESS...      as relay, but to the addresses that are ready
 //	load ID PLAN                 start a load in the background
-//	faultless ID [CLASS...]      end it and check every answer; requests of the
+//	faultless ID [CLASS...]      stop it and check every answer; requests of the
 //	                             classes may be refused
 var commands = map[string]func(*testscript.TestScript, bool, []string){
 	"spawn": spawn, "entry": startEntry, "agent": startAgent,
@@ -61,40 +63,43 @@
 	"load": startLoad, "faultless": faultless,
 }
 
-// bench is what one script has running.
-type bench struct {
-	// started are all processes in their order, children the present ones by name.
-	started  []*child
-	children map[string]*child
-	requests map[string]*request
-	relays   map[string]*balanced
-	loads    map[string]*loadRun
+// scriptState holds the processes, requests, relays and loads of one script.
+type scriptState struct {
+	// allChildren lists all processes in start order; children maps a name to the
+	// last process started under it.
+	allChildren []*child
+	children    map[string]*child
+	requests    map[string]*request
+	relays      map[string]*scriptRelay
+	loads       map[string]*loadRun
 }
 
-type benchKey struct{}
+type scriptStateKey struct{}
 
 func setup(env *testscript.Env) error {
-	b := &bench{
+	b := &scriptState{
 		children: map[string]*child{}, requests: map[string]*request{},
-		relays: map[string]*balanced{}, loads: map[string]*loadRun{},
+		relays: map[string]*scriptRelay{}, loads: map[string]*loadRun{},
 	}
-	env.Values[benchKey{}] = b
-	env.Defer(func() { keepOutputs(env, b) })
+	env.Values[scriptStateKey{}] = b
+	env.Defer(func() { saveOutputs(env, b) })
 	declarations, err := filepath.Abs(filepath.Join("testdata", "declarations"))
 	env.Setenv("declarations", declarations)
 	return err
 }
 
-func benchOf(ts *testscript.TestScript) *bench { return ts.Value(benchKey{}).(*bench) }
+func stateOf(ts *testscript.TestScript) *scriptState {
+	return ts.Value(scriptStateKey{}).(*scriptState)
+}
 
 func spawn(ts *testscript.TestScript, _ bool, args []string) {
 	c := start(ts, args[0], args[1:]...)
-	benchOf(ts).children[args[0]] = c
+	stateOf(ts).children[args[0]] = c
 	select {
 	case <-c.started:
 	case <-c.exited:
-		ts.Fatalf("%s ended before it listened:\n%s", args[0], c.text())
-	case <-time.After(hangGuard):
+		ts.Fatalf("%s exited before it listened:\n%s", args[0], c.text())
+	case <-time.After(waitLimit):
 		ts.Fatalf("%s does not listen:\n%s", args[0], c.text())
 	}
 	for suffix, address := range c.addresses {
@@ -108,15 +113,16 @@
 	spawn(ts, false, []string{"hosts", "nutmeglane", "dev", "hosts", "--lag", "0s"})
 }
 
-// shortTimings let a script see what takes minutes in production. A script may
-// set $tenure.
+// shortTimings returns timings of seconds for what takes minutes in production.
+// A script may set $tenure.
 func shortTimings(ts *testscript.TestScript) string {
 	return fmt.Sprintf(`"timings": {"tenure": %q, "tenureMargin": "1s", "unloadLead": "2s",
 	"orderValidity": "500ms", "reportInterval": "500ms", "rosterInterval": "500ms",
 	"stewardLease": "3s", "grace": "2s", "pingInterval": "500ms"}`, cmp.Or(ts.Getenv("tenure"), "20s"))
 }
 
-// stopDelay is above callerIdle and the time that a balance takes to look.
+// stopDelay is longer than callerIdle and than a readiness check of a balance
+// relay.
 const stopDelay = "2s"
 
 func writeSettings(ts *testscript.TestScript, name, format string, args ...any) string {
@@ -160,7 +166,7 @@
 }
 
 func childOf(ts *testscript.TestScript, name string) *child {
-	c := benchOf(ts).children[name]
+	c := stateOf(ts).children[name]
 	if c == nil {
 		ts.Fatalf("no process %s", name)
 	}
@@ -177,8 +183,9 @@
 
 var stoppedThread = regexp.MustCompile(`^\d+ \(.*\) [Tt] `)
 
-// awaitStopped waits for every thread: the signal is sent, not yet taken, when
-// kill returns, and a thread still running would read what comes next.
+// awaitStopped waits until every thread of a process is stopped. When kill
+// returns, the signal may still be pending, and a thread that is still running
+// would process the next input.
 func awaitStopped(ts *testscript.TestScript, pid int) {
 	poll(ts, fmt.Sprintf("process %d stopped", pid), func() (string, bool) {
 		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
@@ -195,8 +202,8 @@
 	c := childOf(ts, args[0])
 	select {
 	case <-c.exited:
-	case <-time.After(hangGuard):
-		ts.Fatalf("%s does not end:\n%s", args[0], c.text())
+	case <-time.After(waitLimit):
+		ts.Fatalf("%s does not exit:\n%s", args[0], c.text())
 	}
 	if got := strconv.Itoa(c.cmd.ProcessState.ExitCode()); got != args[1] {
 		ts.Fatalf("%s exits with %s, want %s:\n%s", args[0], got, args[1], c.text())
@@ -218,20 +225,20 @@
 
 const pollInterval = 20 * time.Millisecond
 
-// poll looks again and again until the look reports true, and ends the script
-// with the look's last text if it never does.
-func poll(ts *testscript.TestScript, wanted string, look func() (string, bool)) {
-	guard, again := time.After(hangGuard), time.NewTicker(pollInterval)
+// poll calls check until it reports true. It fails the script with the last text
+// of check after waitLimit.
+func poll(ts *testscript.TestScript, wanted string, check func() (string, bool)) {
+	guard, again := time.After(waitLimit), time.NewTicker(pollInterval)
 	defer again.Stop()
 	for {
-		seen, ok := look()
+		seen, ok := check()
 		if ok {
 			return
 		}
 		select {
 		case <-again.C:
 		case <-guard:
-			ts.Fatalf("never came: %s; last seen:\n%s", wanted, seen)
+			ts.Fatalf("timed out waiting for %s; last seen:\n%s", wanted, seen)
 		}
 	}
 }
--- a/internal/scenario/doc.go
+++ b/internal/scenario/doc.go
@@ -1,4 +1,4 @@
-// Package scenario runs the shipped binaries as separate processes against the
-// stand-ins, by scripts in testdata. The script commands are described in
-// commands_test.go.
+// Package scenario tests the shipped binaries as separate processes against the
+// platform stand-ins. The scripts are in testdata; commands_test.go describes
+// their commands.
 package scenario
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -13,11 +13,11 @@
 	"nutmeglane.example/nutmeglane/internal/load"
 )
 
-// callerIdle is how long a caller keeps an idle connection. It is below the
-// entries' stopDelay in shortTimings, as settings.Callers asks.
+// callerIdle is the time for which callers keep idle connections. It is shorter
+// than the entries' stopDelay, as settings.Callers requires.
 const callerIdle = 500 * time.Millisecond
 
-// loadRun is a load in the background.
+// loadRun is a load that runs in the background.
 type loadRun struct {
 	stop    context.CancelFunc
 	done    chan struct{}
@@ -31,7 +31,7 @@
 	ts.Check(err)
 	ctx, stop := context.WithCancel(context.Background())
 	run := &loadRun{stop: stop, done: make(chan struct{})}
-	benchOf(ts).loads[args[0]] = run
+	stateOf(ts).loads[args[0]] = run
 	transport := &http.Transport{IdleConnTimeout: callerIdle, MaxIdleConnsPerHost: plan.MaxOpen}
 	go func() {
 		defer close(run.done)
@@ -44,13 +44,14 @@
 	})
 }
 
-// faultless ends a load and wants every request answered whole but those that
-// were still open. The classes named may be refused besides, truly and in time.
+// faultless stops a load and checks that every request was answered completely,
+// except those that were still open. Requests of the named classes may also be
+// refused, provided that they did not run and were refused in time.
 func faultless(ts *testscript.TestScript, _ bool, args []string) {
-	run := benchOf(ts).loads[args[0]]
+	run := stateOf(ts).loads[args[0]]
 	select {
 	case <-run.done:
-		ts.Fatalf("load %s ended before what it was to see", args[0])
+		ts.Fatalf("load %s ended before the script stopped it", args[0])
 	default:
 	}
 	run.stop()
@@ -61,7 +62,7 @@
 		ts.Logf("%s: %v", series.Class, series.Outcomes)
 		refusable := slices.Contains(args[1:], series.Class)
 		for outcome, count := range series.Outcomes {
-			if !wanted(outcome, refusable) {
+			if !expectedOutcome(outcome, refusable) {
 				unwanted += count
 			}
 		}
@@ -76,7 +77,7 @@
 	}
 }
 
-func wanted(outcome load.Outcome, refusable bool) bool {
+func expectedOutcome(outcome load.Outcome, refusable bool) bool {
 	switch outcome {
 	case load.OutcomeOK, load.OutcomeStopped:
 		return true
--- a/internal/scenario/process_test.go
+++ b/internal/scenario/process_test.go
@@ -19,18 +19,19 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// hangGuard ends a wait that would never end. No check depends on its length.
-const hangGuard = 60 * time.Second
+// waitLimit bounds every wait, so that a hanging script fails. No check depends
+// on its value.
+const waitLimit = 60 * time.Second
 
 // child is a process started by a script.
 type child struct {
-	// name is what the script calls it.
+	// name is the name of the process in the script.
 	name string
 	cmd  *exec.Cmd
 	// started is closed when the process has printed its addresses.
 	started chan struct{}
 	once    sync.Once
-	// exited is closed when the process has ended.
+	// exited is closed when the process has exited and its output has been read.
 	exited    chan struct{}
 	addresses map[string]string
 
@@ -55,8 +56,8 @@
 	for _, pipe := range []io.Reader{stdout, stderr} {
 		readers.Go(func() { c.read(pipe) })
 	}
-	b := benchOf(ts)
-	b.started = append(b.started, c)
+	b := stateOf(ts)
+	b.allChildren = append(b.allChildren, c)
 	go func() {
 		readers.Wait()
 		_ = c.cmd.Wait()
@@ -127,16 +128,16 @@
 	return c.output.String()
 }
 
-// end kills a process that the script left running.
+// end kills the process if it is still running.
 func (c *child) end() {
 	_ = c.cmd.Process.Signal(syscall.SIGCONT)
 	_ = c.cmd.Process.Kill()
 	<-c.exited
 }
 
-// keepOutputs writes what the processes of a failed script printed to files, and tells
-// where, so that a failure that shows once can be traced.
-func keepOutputs(env *testscript.Env, b *bench) {
+// saveOutputs writes the output of the processes of a failed script to files and logs
+// their directory, so that a failure that is hard to reproduce can be analysed.
+func saveOutputs(env *testscript.Env, b *scriptState) {
 	if failed, ok := env.T().(interface{ Failed() bool }); !ok || !failed.Failed() {
 		return
 	}
@@ -145,7 +146,7 @@
 		env.T().Log(err)
 		return
 	}
-	for i, c := range b.started {
+	for i, c := range b.allChildren {
 		name := fmt.Sprintf("%02d-%s.log", i, c.name)
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(c.text()), 0o600); err != nil {
 			env.T().Log(err)
--- a/internal/scenario/request_test.go
+++ b/internal/scenario/request_test.go
@@ -20,30 +20,30 @@
 	"nutmeglane.example/nutmeglane/internal/standin/engine"
 )
 
-// request is a caller's request in the background.
+// request is a caller's request that runs in the background.
 type request struct {
 	want string
-	// takes is closed when a slow reader may read on; nil for others.
-	takes chan struct{}
-	// insists is set for a caller who comes back when Retry-After says.
-	insists bool
+	// resume is closed when a slow reader may continue; nil for other requests.
+	resume chan struct{}
+	// retries is set if the request is sent again after each Retry-After.
+	retries bool
 	begun   chan struct{}
 	once    sync.Once
 	done    chan struct{}
 
-	// set before done is closed
+	// The fields below are set before done is closed.
 	status int
 	header http.Header
 	text   string
-	// failure is the result code that a broken stream ended with.
+	// failure is the result code at the end of a failed stream.
 	failure string
 	whole   bool
 	err     error
 }
 
-func launch(ts *testscript.TestScript, id string, r *request, build func(context.Context) (*http.Request, error), read func(*request, io.Reader)) {
+func startRequest(ts *testscript.TestScript, id string, r *request, build func(context.Context) (*http.Request, error), read func(*request, io.Reader)) {
 	r.begun, r.done = make(chan struct{}), make(chan struct{})
-	benchOf(ts).requests[id] = r
+	stateOf(ts).requests[id] = r
 	ctx, cancel := context.WithCancel(context.Background())
 	ts.Defer(cancel)
 	go func() {
@@ -59,8 +59,8 @@
 	}()
 }
 
-// send sends the request, again and again for one who insists, and returns the
-// answer's head.
+// send sends the request and returns the response with its body unread. If
+// retries is set, it waits for Retry-After and repeats the request.
 func (r *request) send(ctx context.Context, build func(context.Context) (*http.Request, error)) (*http.Response, error) {
 	for {
 		req, err := build(ctx)
@@ -68,7 +68,7 @@
 			return nil, err
 		}
 		response, err := r.client().Do(req)
-		if err != nil || !r.insists {
+		if err != nil || !r.retries {
 			return response, err
 		}
 		seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
@@ -84,17 +84,18 @@
 	}
 }
 
-// smallBuffer keeps what a slow reader has not read out of its own kernel.
-const smallBuffer = 64 << 10
+// slowReaderBuffer is the receive buffer of a slow reader in bytes. It is small,
+// so that unread data stays with the sender.
+const slowReaderBuffer = 64 << 10
 
 func (r *request) client() *http.Client {
-	if r.takes == nil {
+	if r.resume == nil {
 		return http.DefaultClient
 	}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, network, address)
 		if err == nil {
-			err = conn.(*net.TCPConn).SetReadBuffer(smallBuffer)
+			err = conn.(*net.TCPConn).SetReadBuffer(slowReaderBuffer)
 		}
 		return conn, err
 	}
@@ -112,14 +113,14 @@
 func chat(ts *testscript.TestScript, _ bool, args []string) { startChat(ts, &request{}, args) }
 
 func slow(ts *testscript.TestScript, _ bool, args []string) {
-	startChat(ts, &request{takes: make(chan struct{})}, args)
+	startChat(ts, &request{resume: make(chan struct{})}, args)
 }
 
 func insist(ts *testscript.TestScript, _ bool, args []string) {
-	startChat(ts, &request{insists: true}, args)
+	startChat(ts, &request{retries: true}, args)
 }
 
-func takes(ts *testscript.TestScript, _ bool, args []string) { close(requestOf(ts, args[0]).takes) }
+func takes(ts *testscript.TestScript, _ bool, args []string) { close(requestOf(ts, args[0]).resume) }
 
 func startChat(ts *testscript.TestScript, r *request, args []string) {
 	id, entry, key, prompt := args[0], args[1], args[2], args[4]
@@ -132,7 +133,7 @@
 	})
 	ts.Check(err)
 	r.want = strings.Join(engine.Answer(args[3], prompt, tokens), "")
-	launch(ts, id, r, func(ctx context.Context) (*http.Request, error) {
+	startRequest(ts, id, r, func(ctx context.Context) (*http.Request, error) {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/v1/chat/completions", strings.NewReader(string(body)))
 		if err == nil {
 			setHeaders(req, key, args[6:])
@@ -141,7 +142,7 @@
 	}, readEvents)
 }
 
-// readEvents reads server-sent events; other bodies are kept as text.
+// readEvents reads server-sent events; it stores other bodies as text.
 func readEvents(r *request, body io.Reader) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -165,14 +166,14 @@
 
 func (r *request) begin() {
 	close(r.begun)
-	if r.takes != nil {
-		<-r.takes
+	if r.resume != nil {
+		<-r.resume
 	}
 }
 
 func call(ts *testscript.TestScript, _ bool, args []string) {
 	id, entry, key, method, path := args[0], args[1], args[2], args[3], args[4]
-	launch(ts, id, &request{}, func(ctx context.Context) (*http.Request, error) {
+	startRequest(ts, id, &request{}, func(ctx context.Context) (*http.Request, error) {
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+entry+path, strings.NewReader("{}"))
 		if err == nil {
 			setHeaders(req, key, args[5:])
@@ -185,24 +186,24 @@
 }
 
 func requestOf(ts *testscript.TestScript, id string) *request {
-	r := benchOf(ts).requests[id]
+	r := stateOf(ts).requests[id]
 	if r == nil {
 		ts.Fatalf("no request %s", id)
 	}
 	return r
 }
 
-func ended(ts *testscript.TestScript, id string) *request {
+func waitForEnd(ts *testscript.TestScript, id string) *request {
 	r := requestOf(ts, id)
 	select {
 	case <-r.done:
-	case <-time.After(hangGuard):
+	case <-time.After(waitLimit):
 		ts.Fatalf("request %s does not end", id)
 	}
 	return r
 }
 
-func end(ts *testscript.TestScript, _ bool, args []string) { ts.Logf("%v", ended(ts, args[0])) }
+func end(ts *testscript.TestScript, _ bool, args []string) { ts.Logf("%v", waitForEnd(ts, args[0])) }
 
 func (r *request) String() string {
 	return fmt.Sprintf("status %d, whole %t, error %v, header %v, text:\n%s", r.status, r.whole, r.err, r.header, r.text)
@@ -214,27 +215,27 @@
 	case <-r.begun:
 	case <-r.done:
 		ts.Fatalf("request %s ended without a token: %v", args[0], r)
-	case <-time.After(hangGuard):
-		ts.Fatalf("request %s does not begin", args[0])
+	case <-time.After(waitLimit):
+		ts.Fatalf("request %s got no token", args[0])
 	}
 }
 
 func whole(ts *testscript.TestScript, _ bool, args []string) {
-	r := ended(ts, args[0])
+	r := waitForEnd(ts, args[0])
 	if r.err != nil || !r.whole || r.text != r.want {
-		ts.Fatalf("request %s is not answered whole: %v\nwant:\n%s", args[0], r, r.want)
+		ts.Fatalf("request %s got no complete answer: %v\nwant:\n%s", args[0], r, r.want)
 	}
 }
 
 func refused(ts *testscript.TestScript, _ bool, args []string) {
-	r := ended(ts, args[0])
+	r := waitForEnd(ts, args[0])
 	if got := cmp.Or(r.header.Get("Nutmeglane-Code"), r.failure); got != args[1] {
 		ts.Fatalf("request %s has code %s, want %s: %v", args[0], got, args[1], r)
 	}
 }
 
 func answered(ts *testscript.TestScript, _ bool, args []string) {
-	r := ended(ts, args[0])
+	r := waitForEnd(ts, args[0])
 	if got := strconv.Itoa(r.status); r.err != nil || !r.whole || got != args[1] {
 		ts.Fatalf("call %s is not answered with %s: %v", args[0], args[1], r)
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -9,8 +9,9 @@
 	"nutmeglane.example/nutmeglane/internal/cli"
 )
 
-// TestMain lets the test binary stand for the two shipped ones, so that the
-// processes of a script run the code under test, with the race detector.
+// TestMain makes the test binary act as the two shipped binaries, so that the
+// processes of a script run the code under test, with the race detector if it is
+// enabled.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"nutmeglaned": func() { os.Exit(cli.RunDaemon(os.Stdout, os.Stderr)) },
