--- a/internal/core/agent/inventory.go
+++ b/internal/core/agent/inventory.go
@@ -221,7 +221,7 @@
 		return
 	}
 	if t != nil && !it.closing {
-		p.note("loaded checkpoint missing from the inventory", "key", it.key)
+		p.note("model vanished from the engine", "key", it.key)
 	}
 }
 
--- a/internal/core/agent/orders.go
+++ b/internal/core/agent/orders.go
@@ -253,7 +253,7 @@
 func (p *Part) loseSlot(s *slot) {
 	s.owned = false
 	s.lostGeneration = max(s.lostGeneration, s.generation)
-	p.note("slot lost to a higher fencing number", "model", s.id.Model,
+	p.note("slot lost to a newer fencing number", "model", s.id.Model,
 		"generation", formatUint(s.generation))
 }
 
--- a/internal/core/agent/tenure.go
+++ b/internal/core/agent/tenure.go
@@ -119,7 +119,7 @@
 func (p *Part) fenced() {
 	p.count(grantsTotal, "fenced")
 	p.tenure.until = min(p.tenure.until, p.now)
-	p.note("incarnation fenced by the steward; shutting down")
+	p.note("fenced, a new process has to take over")
 	p.leave(p.cfg.Limits.LeaveLimit)
 }
 
--- a/internal/core/config/fetch.go
+++ b/internal/core/config/fetch.go
@@ -185,7 +185,7 @@
 	chunk, err := unpack(packed, hash)
 	if err != nil {
 		p.count(countBadChunks, from)
-		p.emit(core.Note{Name: "corrupted configuration chunk rejected", Fields: []string{"source", from, "hash", hash}})
+		p.emit(core.Note{Name: "configuration chunk refused", Fields: []string{"source", from, "hash", hash}})
 		p.delayRetry()
 		return
 	}
--- a/internal/core/steward/election.go
+++ b/internal/core/steward/election.go
@@ -75,7 +75,7 @@
 func (p *Part) advanceElection(now core.Time) {
 	o := &p.election
 	if o.held && now >= o.validUntil {
-		p.stepDown("lease expired by the local clock")
+		p.stepDown("lease over by own clock")
 	}
 	if !p.ready(now, &o.keyView) || o.leaseTag != 0 {
 		return
@@ -148,7 +148,7 @@
 		o.keepAliveAt = now.Add(p.jitter(retryWindow))
 	default: // the lease has expired
 		o.lease, o.mustRead = 0, true
-		p.stepDown("lease expired")
+		p.stepDown("lease lapsed")
 	}
 	return true
 }
@@ -198,14 +198,14 @@
 	switch {
 	case o.revision == 0:
 		o.lease, o.failures = 0, 0
-		p.stepDown("steward record deleted")
+		p.stepDown("record gone")
 		p.claimLater(now)
 	case o.record == p.ownRecord():
 		o.failures = 0
 		p.becomeSteward(now)
 	default:
 		o.lease, o.claimAt = 0, core.Never
-		p.stepDown("another process is the steward")
+		p.stepDown("another steward")
 		p.stopCollecting()
 	}
 }
@@ -219,7 +219,7 @@
 	}
 	o.held, o.heldSince = true, now
 	o.graceUntil = now.Add(p.config.Timings.Grace)
-	p.note("became steward")
+	p.note("steward in office")
 	p.count(counterElections)
 	p.startCollecting(now)
 	for _, r := range p.rosters {
@@ -235,6 +235,6 @@
 func (p *Part) stepDown(why string) {
 	if p.election.held {
 		p.election.held = false
-		p.note("steward stepped down", "why", why)
+		p.note("steward out of office", "why", why)
 	}
 }
