--- a/internal/soak/account_test.go
+++ b/internal/soak/account_test.go
@@ -14,28 +14,30 @@
 	"time"
 )
 
-// Accounts of the deployment. The steady one's key is valid all the while. The busy one
-// asks for several times its bound. The rotating one has one key, another with each
-// configuration.
+// Accounts of the deployment. The key of the steady account is always valid. The busy
+// account requests several times its bound. The rotating account has one key, which
+// changes with each configuration.
 const (
 	steadyAccount, busyAccount, rotatingAccount = "steady", "busy", "rotating"
 	steadyKey, busyKey                          = "steady-key-0123456789", "busy-key-01234567890"
 	forgedKey                                   = "forged-key-0123456789"
-	// Shares of the calls; the rest is the steady account's.
+	// Shares of the calls; the remaining calls belong to the steady account.
 	busyShare, rotatingShare, forgedShare = 0.15, 0.05, 0.03
-	// callTokens is what a call to an engine counts, plainTokens one to a plain service.
+	// callTokens is the number of tokens charged for a call to an engine, plainTokens that
+	// for a call to a plain service.
 	callTokens, plainTokens = 60, 100
-	// The bound of the busy account: what 12 callers ask of it is some three times that.
+	// The bound of the busy account in tokens per second and burst; 12 callers request
+	// about three times that.
 	busyRate, busyBurst = 300, 300
 	quotaWindow         = 8 * time.Second
 	quotaOver           = 0.1
 	quotaSlack          = 1500
 )
 
-// busyMost is the most that may run of the busy account within a window.
-const busyMost = (busyRate*8+busyBurst)*(1+quotaOver) + quotaSlack
+// busyBound is the maximum number of tokens of the busy account within a window.
+const busyBound = (busyRate*8+busyBurst)*(1+quotaOver) + quotaSlack
 
-// rotatingKey is the key of the rotating account in a version.
+// rotatingKey returns the key of the rotating account in a configuration version.
 func rotatingKey(version int) string { return fmt.Sprintf("rotating-key-%08d", version) }
 
 func accountConfigs(version int) []map[string]any {
@@ -49,7 +51,7 @@
 	}
 }
 
-// drawAccount returns a key and the account that it belongs to, "" for a forged one.
+// drawAccount draws a key and returns it with its account, which is "" for a forged key.
 func (w *world) drawAccount() (key, account string) {
 	switch x := rand.Float64(); {
 	case x < busyShare:
@@ -63,21 +65,22 @@
 	}
 }
 
-// use is a run of the busy account.
+// use is a run of a request of the busy account.
 type use struct {
 	sent, began time.Time
 	tokens      int
 }
 
-// tokens is what a call counts.
-func (a asked) tokens() int {
+// tokens returns the number of tokens charged for a call.
+func (a sentRequest) tokens() int {
 	if a.model == "" {
 		return plainTokens
 	}
 	return callTokens
 }
 
-// worstWindow is the largest sum of what was both sent and began within a window.
+// worstWindow returns the maximum sum of tokens of runs that were both sent and started
+// within the same window.
 func worstWindow(uses []use) int {
 	worst := 0
 	for _, first := range uses {
@@ -92,9 +95,9 @@
 	return worst
 }
 
-// leaks returns the files of the processes' logs, their notes in the store, and the state
-// dumps and metrics that show a key.
-func (w *world) leaks() []string {
+// leakedKeys returns the process logs, notes in the store, state dumps and metrics pages that
+// contain an API key.
+func (w *world) leakedKeys() []string {
 	keys := []string{steadyKey, busyKey, forgedKey, "rotating-key-"}
 	var found []string
 	look := func(name string, data []byte) {
@@ -129,7 +132,7 @@
 	return found
 }
 
-// copies are what the store held lately, for going back to.
+// copies holds recent copies of the store's contents, from which it can be restored.
 type copies struct {
 	mu   sync.Mutex
 	list []storeCopy
@@ -140,7 +143,7 @@
 	revision int64
 }
 
-// maxCopies bounds how far back a copy lies: so many copyPauses.
+// A copy is made every copyPause; the oldest of maxCopies is at most that many pauses old.
 const (
 	maxCopies = 6
 	copyPause = 300 * time.Millisecond
@@ -162,6 +165,6 @@
 		return storeCopy{}, false
 	}
 	one := c.list[0]
-	c.list = nil // of the era that ends
+	c.list = nil // they belong to the era that ends
 	return one, true
 }
--- a/internal/soak/backend_test.go
+++ b/internal/soak/backend_test.go
@@ -18,59 +18,60 @@
 )
 
 const (
-	// heartbeat is the time between two writes of a registry entry; one that is
-	// missing for lapseAfter of them is removed.
-	heartbeat  = 200 * time.Millisecond
-	lapseAfter = 3
-	// leaveTime is how long a server that said it leaves goes on serving: the
-	// routers' drain bound, and a margin for slow machines.
-	leaveTime = 3 * time.Second
-	// plainWork is the time of a request at a plain service.
+	// heartbeat is the time between two writes of a registry entry. An entry is
+	// removed after missedHeartbeats missing writes.
+	heartbeat        = 200 * time.Millisecond
+	missedHeartbeats = 3
+	// drainTime is how long a server continues to serve after it has announced that
+	// it leaves: the routers' drain bound plus a margin for slow machines.
+	drainTime = 3 * time.Second
+	// plainWork is the duration of a request at a plain service.
 	plainWork = 10 * time.Millisecond
 )
 
-// misdeed is what a backend server does wrong.
-type misdeed int
+// serverFault is a fault of a backend server.
+type serverFault int
 
 const (
-	works misdeed = iota
-	// fails answers 500 after the run.
-	fails
+	noFault serverFault = iota
+	// failsRun answers 500 after the run.
+	failsRun
 	// losesAnswers resets the connection after the run.
 	losesAnswers
-	// answersTwice sends a further answer, to nobody, after each.
+	// answersTwice sends an extra answer, which belongs to no request, after each answer.
 	answersTwice
-	misdeeds
+	serverFaults
 )
 
-// backend is a stand-in of a backend server: it registers itself, runs requests
-// and tells the referee. It lives through many instances.
+// backend is a stand-in for a backend server: it registers itself, runs requests
+// and reports them to the checker. Each start creates a new instance.
 type backend struct {
 	name, service, zone string
-	// listen is where it serves, address what the registry says: a relay.
+	// listen is the address at which it serves; address is the registered one, that of
+	// a relay.
 	listen, address string
 	store           *store
-	referee         *referee
+	checker         *checker
 	// engine is nil at plain services.
 	engine *engine
 
-	// turn is held by the fault that ends and starts the server.
-	turn sync.Mutex
+	// lifecycle is held by the fault that stops and restarts the server.
+	lifecycle sync.Mutex
 
 	mu       sync.Mutex
 	instance string
 	draining bool
-	// left is set once the entry is withdrawn, while the server still serves.
-	left    bool
-	misdeed misdeed
-	// limit is what it names in its answers as the requests a second that it takes.
+	// left is set once the registry entry is removed while the server still serves.
+	left  bool
+	fault serverFault
+	// limit is the limit announced in its answers, in requests per second.
 	limit  string
 	server *http.Server
 	life   int
 	tasks  sync.WaitGroup
 }
 
-// start begins a new instance.
+// start starts a new instance.
 func (b *backend) start() error {
 	l, err := b.bind()
 	if err != nil {
@@ -90,11 +91,11 @@
 	return nil
 }
 
-// bind listens, trying again for a while: a process that is just being started
-// holds a copy of the last instance's listener until its exec, for seconds on a
-// busy machine.
+// bind listens on the server's address and retries while it is in use. A process that
+// is being started holds a copy of the previous instance's listener until its exec,
+// which can take seconds on a busy machine.
 func (b *backend) bind() (net.Listener, error) {
-	limit := time.Now().Add(hangGuard)
+	limit := time.Now().Add(waitLimit)
 	for {
 		l, err := net.Listen("tcp", b.listen)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// crash ends the instance without a word. Its entry lapses later.
+// crash stops the instance without notice. Its registry entry is removed later.
 func (b *backend) crash() {
 	b.mu.Lock()
 	server, instance := b.server, b.instance
@@ -114,10 +115,11 @@
 		return
 	}
 	_ = server.Close()
-	time.AfterFunc(lapseAfter*heartbeat, func() { b.store.remove("servers/" + instance) })
+	time.AfterFunc(missedHeartbeats*heartbeat, func() { b.store.remove("servers/" + instance) })
 }
 
-// leave announces the instance's end, serves on for a while and ends.
+// leave announces that the instance leaves, serves for drainTime, removes the registry
+// entry, serves for drainTime again and stops.
 func (b *backend) leave() {
 	b.mu.Lock()
 	b.draining = true
@@ -127,16 +129,16 @@
 		return
 	}
 	b.write(instance)
-	time.Sleep(leaveTime)
+	time.Sleep(drainTime)
 	b.mu.Lock()
 	b.left = true
 	b.store.remove("servers/" + instance)
 	b.mu.Unlock()
-	time.Sleep(leaveTime)
+	time.Sleep(drainTime)
 	b.crash()
 }
 
-// finish serves what has arrived, and then nothing more.
+// finish serves the requests that have arrived and then stops serving.
 func (b *backend) finish() {
 	b.mu.Lock()
 	server := b.server
@@ -144,10 +146,10 @@
 	if server == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), hangGuard)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
-		b.referee.breaks("%s still served long after its callers had left: %v", b.name, err)
+		b.checker.reportViolation("%s still served long after its callers had left: %v", b.name, err)
 	}
 }
 
@@ -156,7 +158,7 @@
 	b.tasks.Wait()
 }
 
-// register writes the registry entry while the instance lives.
+// register writes the registry entry periodically while the instance is alive.
 func (b *backend) register(instance string) {
 	for b.write(instance) {
 		time.Sleep(heartbeat)
@@ -173,7 +175,8 @@
 	Seq     int         `json:"seq"`
 }
 
-// write reports false once the instance has ended or left.
+// write writes the registry entry. It reports false once the instance has stopped or
+// removed its entry.
 func (b *backend) write(instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -191,13 +194,13 @@
 	return true
 }
 
-func (b *backend) do(m misdeed) {
+func (b *backend) setFault(m serverFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.misdeed = m
+	b.fault = m
 }
 
-// registered is the instance that writes the registry entry, "" if none does.
+// registered returns the instance that writes the registry entry, or "" if none does.
 func (b *backend) registered() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -207,14 +210,14 @@
 	return b.instance
 }
 
-func (b *backend) state() (instance string, m misdeed) {
+func (b *backend) state() (instance string, m serverFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.instance, b.misdeed
+	return b.instance, b.fault
 }
 
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	instance, misdeed := b.state()
+	instance, current := b.state()
 	id := r.Header.Get("Nutmeglane-Request-Id")
 	w.Header().Set("Nutmeglane-Request-Id", id)
 	w.Header().Set("Nutmeglane-Instance-Id", instance)
@@ -232,12 +235,12 @@
 	if limit := b.limitText(); limit != "" {
 		w.Header().Set("Server-Limit", limit)
 	}
-	b.referee.arrived(instance, id)
+	b.checker.arrived(instance, id)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request did not arrive whole
+		return // the request did not arrive completely
 	}
-	b.referee.ran(instance, id, asked{
+	b.checker.runStarted(instance, id, sentRequest{
 		method: r.Method, path: r.RequestURI, body: string(body), model: r.Header.Get("Nutmeglane-Model"),
 		account: strings.Join(r.Header.Values("Nutmeglane-Tenant"), ","), shown: r.Header.Get("Authorization"),
 	})
@@ -248,11 +251,11 @@
 	}
 	w.Header().Set("Nutmeglane-Server-Seal", "seal-"+id)
 	if b.engine != nil {
-		b.engine.stream(w, r, id, misdeed)
+		b.engine.stream(w, r, id, current)
 		return
 	}
 	time.Sleep(plainWork)
-	b.answer(w, id, misdeed)
+	b.answer(w, id, current)
 }
 
 func refuseRun(w http.ResponseWriter, status int) {
@@ -261,12 +264,12 @@
 }
 
 // answer answers a request of a plain service.
-func (b *backend) answer(w http.ResponseWriter, id string, m misdeed) {
-	if m != works && rand.IntN(2) == 0 {
-		m = works // half of the requests are spared
+func (b *backend) answer(w http.ResponseWriter, id string, m serverFault) {
+	if m != noFault && rand.IntN(2) == 0 {
+		m = noFault // half of the requests are not affected
 	}
 	switch m {
-	case fails:
+	case failsRun:
 		w.WriteHeader(http.StatusInternalServerError)
 	case losesAnswers:
 		panic(http.ErrAbortHandler)
@@ -277,21 +280,21 @@
 	}
 }
 
-// plainBody is the answer of a plain service to a request.
+// plainBody returns the answer of a plain service to a request.
 func plainBody(id string) string { return "record of " + id }
 
-// answerTwice sends the answer, and one to a request of long ago where the next
-// answer is due.
+// answerTwice sends the answer and then, in the place of the next answer on the
+// connection, an answer to another request.
 func (b *backend) answerTwice(w http.ResponseWriter, id string) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(err) // every connection of an HTTP/1.1 server can be taken over
+		panic(err) // every connection of an HTTP/1.1 server can be hijacked
 	}
 	defer func() { _ = conn.Close() }()
 	for _, to := range []string{id, "stray-" + id} {
 		writeAnswer(buffer.Writer, to)
 	}
-	_ = buffer.Flush() // a caller that left reads nothing
+	_ = buffer.Flush() // fails only if the caller has disconnected
 	time.Sleep(plainWork)
 }
 
--- a/internal/soak/caller_test.go
+++ b/internal/soak/caller_test.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// callerDeadline is what callers wait for an answer.
+	// callerDeadline is the maximum time for which callers wait for an answer.
 	callerDeadline = 6 * time.Second
 	// callerPause is the mean time between two calls of one caller.
 	callerPause = 40 * time.Millisecond
-	// impatient is the share of calls whose caller leaves early.
-	impatient = 0.05
-	// moves is the share of calls after which a caller goes to another router.
-	moves = 0.1
+	// cancelShare is the share of calls that their caller cancels early.
+	cancelShare = 0.05
+	// switchShare is the share of calls before which a caller draws a new router.
+	switchShare = 0.1
 )
 
 // kindsOfCall are the routes that callers use.
@@ -33,16 +33,16 @@
 
 func listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// caller calls one router after the other over connections that it keeps open
-// until the router closes them.
+// caller sends calls to changing routers over connections that it keeps open until
+// the router closes them.
 type caller struct {
 	world  *world
 	name   string
 	client *http.Client
 	calls  int
 	router int
-	// planned is set while nothing but planned work goes on: then a request
-	// that reached a server must get its answer.
+	// planned is set while there are only planned faults: then a request that
+	// reached a server must get its answer.
 	planned *atomic.Bool
 }
 
@@ -54,7 +54,7 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		if rand.Float64() < moves || !c.ready() {
+		if rand.Float64() < switchShare || !c.ready() {
 			c.router = rand.IntN(routerCount)
 		}
 		c.call(kindsOfCall[rand.IntN(len(kindsOfCall))])
@@ -62,8 +62,8 @@
 	}
 }
 
-// ready asks the router as the platform's balancer would. An open connection is
-// used without asking, nearly always.
+// ready checks the readiness of the router, as the platform's load balancer does.
+// Three of four calls skip the check, as calls on open connections do.
 func (c *caller) ready() bool {
 	if rand.IntN(4) > 0 {
 		return true
@@ -90,7 +90,7 @@
 	return response.StatusCode, string(data), err
 }
 
-// call makes one call on a route and judges its answer.
+// call makes one call on a route and checks its answer.
 func (c *caller) call(kind string) {
 	c.calls++
 	id := fmt.Sprintf("%s-%d", c.name, c.calls)
@@ -98,7 +98,7 @@
 	a := c.describe(kind, id)
 	a.account, a.router = account, c.router
 	wait := callerDeadline
-	leaves := rand.Float64() < impatient
+	leaves := rand.Float64() < cancelShare
 	if leaves {
 		wait = time.Duration(rand.Int64N(int64(100 * time.Millisecond)))
 	}
@@ -106,28 +106,28 @@
 	defer cancel()
 	request, err := c.request(ctx, id, key, a)
 	if err != nil {
-		c.world.referee.breaks("request %s: %v", id, err)
+		c.world.checker.reportViolation("request %s: %v", id, err)
 		return
 	}
-	c.world.referee.sends(id, a)
+	c.world.checker.requestSent(id, a)
 	mustAnswer := c.planned.Load() && !leaves
 	response, err := c.client.Do(request)
 	if err != nil {
-		c.lost(mustAnswer, id, kind, err)
+		c.connectionLost(mustAnswer, id, kind, err)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	c.judge(id, kind, a, response, string(body), err)
+	c.checkResponse(id, kind, a, response, string(body), err)
 	if err != nil {
-		c.lost(mustAnswer, id, kind, err)
+		c.connectionLost(mustAnswer, id, kind, err)
 	}
 }
 
-// describe returns what a call on a route asks. Streams ask for a model, those of
-// low numbers more often.
-func (c *caller) describe(kind, id string) asked {
-	a := asked{method: http.MethodPost, path: "/" + kind + "/x?n=" + strconv.Itoa(c.calls), body: "note " + id}
+// describe returns the request of a call on a route. Streams request a model; models
+// with low numbers are drawn more often.
+func (c *caller) describe(kind, id string) sentRequest {
+	a := sentRequest{method: http.MethodPost, path: "/" + kind + "/x?n=" + strconv.Itoa(c.calls), body: "note " + id}
 	a.repeatable = kind == "again" || kind == "resumable"
 	if kind == "resumable" || kind == "plainstream" {
 		a.model = modelNames[min(rand.IntN(len(modelNames)), rand.IntN(len(modelNames)))]
@@ -135,13 +135,13 @@
 	return a
 }
 
-func (c *caller) request(ctx context.Context, id, key string, a asked) (*http.Request, error) {
+func (c *caller) request(ctx context.Context, id, key string, a sentRequest) (*http.Request, error) {
 	address := fmt.Sprintf("http://%s:%d%s", c.world.host(1, c.router), callersPort, a.path)
 	request, err := http.NewRequestWithContext(ctx, a.method, address, strings.NewReader(a.body))
 	if err != nil {
 		return nil, err
 	}
-	// Without this the transport would send a call again by itself.
+	// With GetBody set, the transport could repeat the call.
 	request.GetBody = nil
 	request.Host = "callers.example"
 	request.Header.Set("Authorization", "Token "+key)
@@ -156,63 +156,64 @@
 	return request, nil
 }
 
-// lost judges a call whose connection ended without a whole answer. While only
-// planned work goes on, it must not have been passed on to a server. A caller
-// that waited to its deadline got none either, which the servers may cause.
-func (c *caller) lost(mustAnswer bool, id, kind string, err error) {
-	if mustAnswer && c.planned.Load() && !errors.Is(err, context.DeadlineExceeded) && c.world.referee.hasRun(id) {
-		c.world.referee.breaks("%s (%s) reached a server and its connection ended: %v", id, kind, err)
+// connectionLost checks a call whose connection ended without a complete answer.
+// While there are only planned faults, the call must not have reached a server.
+// Calls that ended at their deadline are exempt, because servers can cause that.
+func (c *caller) connectionLost(mustAnswer bool, id, kind string, err error) {
+	if mustAnswer && c.planned.Load() && !errors.Is(err, context.DeadlineExceeded) && c.world.checker.hasRun(id) {
+		c.world.checker.reportViolation("%s (%s) reached a server but its connection ended: %v", id, kind, err)
 	}
 }
 
-// judge compares an answer with what the server of the request would send.
-func (c *caller) judge(id, kind string, a asked, response *http.Response, body string, cut error) {
+// checkResponse compares an answer with the expected answer of a server.
+func (c *caller) checkResponse(id, kind string, a sentRequest, response *http.Response, body string, cut error) {
 	stream := a.model != ""
-	r := c.world.referee
+	r := c.world.checker
 	status := response.StatusCode
 	if got := response.Header.Get("Nutmeglane-Request-Id"); got != id {
-		r.breaks("%s got the answer of %q: %d", id, got, status)
+		r.reportViolation("%s got the answer of %q: %d", id, got, status)
 	}
 	sealed := response.Header.Get("Nutmeglane-Server-Seal")
-	r.limits.passedOn(a.router, response.Header.Get("Nutmeglane-Instance-Id"), response.Header.Get("Server-Limit"))
+	r.limits.limitForwarded(a.router, response.Header.Get("Nutmeglane-Instance-Id"), response.Header.Get("Server-Limit"))
 	switch {
 	case body != "" && strings.Contains(body, code.PoisonRequest.String()) && !strings.HasPrefix(id, "poison"):
-		r.breaks("%s is well and was kept from servers: %s", id, body)
+		r.reportViolation("%s is a healthy request and was refused as poison: %s", id, body)
 	case status == http.StatusOK && sealed != "seal-"+id:
-		r.breaks("%s got a success with the seal %q", id, sealed)
+		r.reportViolation("%s got a success with the seal %q", id, sealed)
 	case status == http.StatusOK && stream:
-		c.judgeStream(id, body, cut, kind)
+		c.checkStream(id, body, cut, kind)
 	case status == http.StatusOK && cut == nil && body != plainBody(id):
-		r.breaks("%s got %q", id, body)
+		r.reportViolation("%s got %q", id, body)
 	case status == http.StatusOK && cut == nil:
-		r.serves(kind)
+		r.callServed(kind)
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest:
-		r.told(id, strconv.Itoa(status))
+		r.refusedNotRun(id, strconv.Itoa(status))
 	case status == http.StatusUnauthorized:
 		if a.account == steadyAccount || a.account == busyAccount {
-			r.breaks("%s got 401 with a key of all configurations", id)
+			r.reportViolation("%s got 401 with a key of all configurations", id)
 		}
-		r.told(id, strconv.Itoa(status))
+		r.refusedNotRun(id, strconv.Itoa(status))
 	case status == http.StatusNotFound:
-		r.breaks("%s got 404 for a route of all configurations", id)
+		r.reportViolation("%s got 404 for a route of all configurations", id)
 	case sealed != "" && status != http.StatusInternalServerError:
-		r.breaks("%s got the status %d with the seal of a server that answered 500", id, status)
+		r.reportViolation("%s got the status %d with the seal of a server that answered 500", id, status)
 	}
 }
 
-// judgeStream expects all events in order, or the first ones of a cut answer.
-func (c *caller) judgeStream(id, body string, cut error, kind string) {
+// checkStream checks that a stream consists of all events in order, or of the first
+// ones if it was interrupted.
+func (c *caller) checkStream(id, body string, cut error, kind string) {
 	var whole strings.Builder
 	for n := 1; n <= events; n++ {
 		whole.WriteString(event(id, n))
 	}
 	switch {
 	case cut == nil && body != whole.String():
-		c.world.referee.breaks("%s got a stream that ended as complete: %q", id, body)
+		c.world.checker.reportViolation("%s got a stream that ended as complete: %q", id, body)
 	case !strings.HasPrefix(whole.String(), body):
-		c.world.referee.breaks("%s got other events: %q", id, body)
+		c.world.checker.reportViolation("%s got other events: %q", id, body)
 	case cut == nil:
-		c.world.referee.serves(kind)
+		c.world.checker.callServed(kind)
 	}
 }
--- a/internal/soak/engine_test.go
+++ b/internal/soak/engine_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// slots is how many requests a backend server runs at once, as it tells.
+	// slots is the number of concurrent requests that a backend server announces.
 	slots = 16
-	// engineMB holds two models of modelMB.
+	// engineMB is the engine memory, enough for two models of modelMB.
 	engineMB, modelMB = 200.0, 80.0
-	// storeLoad and diskLoad are the times of a load, as declared.
+	// storeLoad and diskLoad are the declared durations of loads.
 	storeLoad, diskLoad = 200 * time.Millisecond, 40 * time.Millisecond
-	// events of a stream come eventPause apart.
+	// events is the number of events of a stream, sent at intervals of eventPause.
 	events     = 8
 	eventPause = 15 * time.Millisecond
 )
@@ -31,11 +31,11 @@
 	Adapters []string `json:"adapters"`
 }
 
-// engine is what a model engine has beside a plain backend server: models,
-// orders and streams.
+// engine is the part of the stand-in that only model engines have: models, orders
+// and streams.
 type engine struct {
 	name    string
-	referee *referee
+	checker *checker
 
 	mu     sync.Mutex
 	loaded []string
@@ -60,7 +60,7 @@
 	return e.heldLocked()
 }
 
-// heldLocked is held for those who hold e.mu.
+// heldLocked returns the loaded models. The caller holds e.mu.
 func (e *engine) heldLocked() []heldModel {
 	models := []heldModel{}
 	for _, name := range e.loaded {
@@ -69,7 +69,8 @@
 	return models
 }
 
-// serve handles what is no run; it reports whether it has answered.
+// serve handles requests other than runs, and refuses runs of models that are not
+// loaded. It reports whether it has sent an answer.
 func (e *engine) serve(w http.ResponseWriter, r *http.Request) bool {
 	switch r.URL.Path {
 	case "/nutmeglane/report":
@@ -88,9 +89,9 @@
 	return false
 }
 
-// report tells the engine's state as of one moment. Told of two, with the end of a load in
-// between, it has neither the model nor the order under way, and the loader orders the model
-// once more.
+// report sends the engine's state as of one moment. If a load ended between two reads of the
+// state, the report could contain neither the model nor the running order, and the loader would
+// order the model again.
 func (e *engine) report(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,10 +135,10 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// load carries a load out in the background. It holds e.mu.
+// load starts a load in the background. The caller holds e.mu.
 func (e *engine) load(model string) {
 	if float64(len(e.loaded)+1)*modelMB > engineMB {
-		e.referee.breaks("%s was ordered to load %s beside %v", e.name, model, e.loaded)
+		e.checker.reportViolation("%s was ordered to load %s in addition to %v", e.name, model, e.loaded)
 	}
 	takes := storeLoad
 	if slices.Contains(e.onDisk, model) {
@@ -159,14 +160,14 @@
 	})
 }
 
-// event is one event of a stream, with its number as id.
+// event returns the event number n of the stream of a request, with n as event id.
 func event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n) }
 
-// stream sends the events of a run, from the one after Last-Event-Id.
-func (e *engine) stream(w http.ResponseWriter, r *http.Request, id string, m misdeed) {
+// stream sends the events of a run, starting after Last-Event-Id.
+func (e *engine) stream(w http.ResponseWriter, r *http.Request, id string, m serverFault) {
 	e.count(1)
 	defer e.count(-1)
-	if m == fails {
+	if m == failsRun {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// faultPause is the mean time between the beginnings of two faults. They
+	// faultPause is the mean time between the starts of two faults. Most faults
 	// last longer, so that several overlap.
 	faultPause = 300 * time.Millisecond
-	// shortest and longest fault.
+	// shortestFault and longestFault bound the duration of a fault.
 	shortestFault, longestFault = 200 * time.Millisecond, 2500 * time.Millisecond
-	// largestDelay is the largest delay of a slow path.
+	// largestDelay is the maximum delay of a slow network path.
 	largestDelay = 300 * time.Millisecond
 )
 
-// fault is a disturbance: do begins it, lasts so long and ends it.
+// fault is a kind of fault. do starts it and schedules its end after lasts.
 type fault struct {
 	name string
 	do   func(f *faults, lasts time.Duration)
 }
 
-// planned faults are work that operators do; nothing may be lost by it.
+// planned faults are maintenance work of operators. They must not cause any failure.
 var planned = []fault{
 	{"router stopped and started", func(f *faults, _ time.Duration) { f.restart(pick(f, f.world.routers), syscall.SIGTERM, 0) }},
 	{"loader stopped and started", func(f *faults, _ time.Duration) { f.restart(pick(f, f.world.loaders), syscall.SIGTERM, 0) }},
@@ -37,7 +37,7 @@
 	{"store forgets its history", func(f *faults, _ time.Duration) { f.world.store.forget() }},
 }
 
-// unplanned faults come beside the planned ones.
+// unplanned faults are drawn in addition to the planned ones.
 var unplanned = []fault{
 	{"router killed", func(f *faults, lasts time.Duration) { f.restart(pick(f, f.world.routers), syscall.SIGKILL, lasts) }},
 	{"loader killed", func(f *faults, lasts time.Duration) { f.restart(pick(f, f.world.loaders), syscall.SIGKILL, lasts) }},
@@ -57,32 +57,32 @@
 	{"connections silent", func(f *faults, lasts time.Duration) {
 		f.disturb(lasts, func(r *relay.Relay) { r.Silence(relay.Direction(f.rand.IntN(2))) })
 	}},
-	{"store goes back", func(f *faults, _ time.Duration) { f.storeBack() }},
+	{"store goes back", func(f *faults, _ time.Duration) { f.restoreStore() }},
 	{"store refuses", func(f *faults, lasts time.Duration) { f.storeDown(storeRefuses, lasts) }},
 	{"store throttles", func(f *faults, lasts time.Duration) { f.storeDown(storeThrottles, lasts) }},
 	{"store hangs", func(f *faults, lasts time.Duration) { f.storeDown(storeHangs, lasts) }},
 }
 
-// faults draws disturbances from a seed and carries them out.
+// faults draws faults from a seed and carries them out.
 type faults struct {
 	world *world
 	rand  *rand.Rand
 	tasks sync.WaitGroup
-	// mu orders what a fault draws while others run.
+	// mu guards down.
 	mu sync.Mutex
-	// down counts the routers that are being ended: one stays up, as
-	// the platform's own plans leave it.
+	// down counts the routers that are being stopped. At least one stays up, as
+	// in the platform's own maintenance.
 	down int
-	told []string
+	log  []string
 }
 
-// run begins faults of the kinds until ctx ends, and waits for their ends.
+// run starts faults of the kinds until ctx ends and waits until all have ended.
 func (f *faults) run(ctx context.Context, kinds []fault) {
 	began := time.Now()
 	for ctx.Err() == nil {
 		kind := kinds[f.rand.IntN(len(kinds))]
 		lasts := shortestFault + time.Duration(f.rand.Int64N(int64(longestFault-shortestFault)))
-		f.told = append(f.told, fmt.Sprintf("%7.3f s %s, %s", time.Since(began).Seconds(), kind.name, lasts))
+		f.log = append(f.log, fmt.Sprintf("%7.3f s %s, %s", time.Since(began).Seconds(), kind.name, lasts))
 		kind.do(f, lasts)
 		time.Sleep(time.Duration(f.rand.ExpFloat64() * float64(faultPause)))
 	}
@@ -91,7 +91,8 @@
 
 func pick[T any](f *faults, all []T) T { return all[f.rand.IntN(len(all))] }
 
-// restart ends a process and starts it again. Of the routers one is left alone.
+// restart stops a process by a signal and starts it again after down. It does nothing
+// if the process is the last router that is up.
 func (f *faults) restart(p *process, s syscall.Signal, down time.Duration) {
 	isRouter := p.role == "router"
 	f.mu.Lock()
@@ -106,7 +107,7 @@
 	f.tasks.Go(func() {
 		if p.end(s) {
 			time.Sleep(down)
-			f.started(p.start())
+			f.checkStarted(p.start())
 		}
 		if isRouter {
 			f.mu.Lock()
@@ -124,41 +125,41 @@
 	})
 }
 
-// started reports a process or server that could not be started again.
-func (f *faults) started(err error) {
+// checkStarted reports a violation if a process or server could not be restarted.
+func (f *faults) checkStarted(err error) {
 	if err != nil {
-		f.world.referee.breaks("not started again: %v", err)
+		f.world.checker.reportViolation("restart failed: %v", err)
 	}
 }
 
-// replace lets a backend server leave as planned, and another take its place.
+// replace stops a backend server as planned and starts a new instance in its place.
 func (f *faults) replace() {
 	b := pick(f, f.world.backends())
 	f.tasks.Go(func() {
-		b.turn.Lock()
-		defer b.turn.Unlock()
+		b.lifecycle.Lock()
+		defer b.lifecycle.Unlock()
 		b.leave()
-		f.started(b.start())
+		f.checkStarted(b.start())
 	})
 }
 
 func (f *faults) crash(lasts time.Duration) {
 	b := pick(f, f.world.backends())
 	f.tasks.Go(func() {
-		b.turn.Lock()
-		defer b.turn.Unlock()
+		b.lifecycle.Lock()
+		defer b.lifecycle.Unlock()
 		b.crash()
 		time.Sleep(lasts)
-		f.started(b.start())
+		f.checkStarted(b.start())
 	})
 }
 
 func (f *faults) misbehave(lasts time.Duration) {
 	b := pick(f, f.world.backends())
-	b.do(misdeed(1 + f.rand.IntN(int(misdeeds)-1)))
+	b.setFault(serverFault(1 + f.rand.IntN(int(serverFaults)-1)))
 	f.tasks.Go(func() {
 		time.Sleep(lasts)
-		b.do(works)
+		b.setFault(noFault)
 	})
 }
 
@@ -179,13 +180,13 @@
 	})
 }
 
-// storeBack lets the store go back to a copy. Operators and servers write again what it
-// lacks; entries of servers that have left meanwhile lapse.
-func (f *faults) storeBack() {
-	f.world.store.goBack()
+// restoreStore restores the store from an older copy. Operators and servers write their
+// missing entries again; entries of servers that have left meanwhile expire.
+func (f *faults) restoreStore() {
+	f.world.store.restoreCopy()
 	f.world.writeConfig()
 	f.tasks.Go(func() {
-		time.Sleep(lapseAfter * heartbeat)
-		f.world.store.lapse(f.world.instances())
+		time.Sleep(missedHeartbeats * heartbeat)
+		f.world.store.removeStale(f.world.instances())
 	})
 }
--- a/internal/soak/limit_test.go
+++ b/internal/soak/limit_test.go
@@ -16,32 +16,34 @@
 )
 
 const (
-	// The users' bound on limits: from contact after a server first named one, no more
-	// than limitOver times what it allows, and limitSlack, reach it within limitWindow,
-	// of the routers that passed such an answer on toldBefore earlier.
-	limitWindow = 4 * time.Second
-	limitOver   = 1.5
-	limitSlack  = 5
-	toldBefore  = 500 * time.Millisecond
-	// engineLimit and plainLimit are a fifth or less of what the servers get otherwise.
+	// The bound on limits required by users: from reactionTime after a server first set a
+	// limit, at most limitOver times the allowed requests plus limitSlack may reach it
+	// within limitWindow. Only routers that forwarded an answer with the limit at least
+	// forwardGrace earlier count.
+	limitWindow  = 4 * time.Second
+	limitOver    = 1.5
+	limitSlack   = 5
+	forwardGrace = 500 * time.Millisecond
+	// engineLimit and plainLimit, in requests per second, are at most a fifth of the rates
+	// without a limit.
 	engineLimit, plainLimit = "1.5", "2"
-	// limitSeed is the network of the worlds, apart from those of other tests.
+	// limitSeed selects the networks of the deployments, distinct from other tests.
 	limitSeed = 70
 )
 
-// An engine and a plain service are in need and name in their answers how many requests
-// a second they take from all routers together. Users saw both get as many as before, or
-// more: no router read what they said. The limit must hold over all routers, and all must
-// know once they name none any more.
+// Guards against routers that ignore the limits of servers. An overloaded engine and a plain
+// service announce in their answers how many requests per second they accept from all routers
+// together. The limit must hold for the sum of all routers, and all routers must remove it once
+// the servers announce none.
 func TestLimitsOfServersHold(t *testing.T) {
 	w := newWorld(t, limitSeed)
 	defer w.close()
-	stop := w.callBeside(callers)
+	stop := w.startCallers(callers)
 	defer stop()
 	w.awaitServed(t)
 	w.engines[0].nameLimit(engineLimit)
 	w.plains[0].nameLimit(plainLimit)
-	w.awaitLimitsJudged(t)
+	w.awaitLimitsEnforced(t)
 	w.engines[0].nameLimit("")
 	w.plains[0].nameLimit("")
 	w.awaitLimitsOver(t)
@@ -50,44 +52,45 @@
 	w.report(t, limitSeed, &faults{world: w})
 }
 
-// The same, and the processes that could count for all routers are gone: the loader
-// beside the engine, and then all of them.
+// Guards against the same failure when the processes that could count for all routers are down:
+// first the loader of the engine, then all loaders.
 func TestLimitsHoldWithoutLoaders(t *testing.T) {
 	w := newWorld(t, limitSeed+1)
 	defer w.close()
-	stop := w.callBeside(callers)
+	stop := w.startCallers(callers)
 	defer stop()
 	w.awaitServed(t)
 	w.loaders[0].end(syscall.SIGKILL)
 	w.engines[0].nameLimit(engineLimit)
 	w.plains[0].nameLimit(plainLimit)
-	w.awaitLimitsJudged(t)
+	w.awaitLimitsEnforced(t)
 	for _, l := range w.loaders[1:] {
 		l.end(syscall.SIGKILL)
 	}
-	w.awaitLimitsJudged(t)
+	w.awaitLimitsEnforced(t)
 	stop()
 	w.quiesce()
 	w.report(t, limitSeed+1, &faults{world: w})
 }
 
-// awaitLimitsJudged lets callers call for as long as a limit takes to be judged.
-func (w *world) awaitLimitsJudged(t *testing.T) {
+// awaitLimitsEnforced waits until a limit set before the call has been in force for a whole
+// limitWindow.
+func (w *world) awaitLimitsEnforced(t *testing.T) {
 	t.Helper()
-	until := time.Now().Add(contact + limitWindow)
-	w.await(t, "limits to be judged", func() bool { return time.Now().After(until) })
+	until := time.Now().Add(reactionTime + limitWindow)
+	w.await(t, "limits to be enforced", func() bool { return time.Now().After(until) })
 }
 
-// awaitLimitsOver waits until no router knows of a limit any more, though another server may
-// be as good and get all requests.
+// awaitLimitsOver waits until no router has a limit, even if another server is equally suitable
+// and gets all requests.
 func (w *world) awaitLimitsOver(t *testing.T) {
 	t.Helper()
 	for i := range routerCount {
-		w.await(t, fmt.Sprintf("router%d to know that limits are over", i), func() bool { return len(w.limitsKnown(t, i)) == 0 })
+		w.await(t, fmt.Sprintf("router%d to remove all limits", i), func() bool { return len(w.limitsKnown(t, i)) == 0 })
 	}
 }
 
-// limitsKnown are the servers whose limits a router knows, by its dump.
+// limitsKnown returns the servers for which a router has a limit, from its state dump.
 func (w *world) limitsKnown(t *testing.T, i int) []string {
 	c := newCaller(w, "operator", &atomic.Bool{})
 	defer c.client.CloseIdleConnections()
@@ -117,14 +120,14 @@
 	return limited
 }
 
-// longestLimit is the longest time for which drawn limits last: long enough for some of them
-// to bind.
+// longestLimit is the maximum duration of drawn limits, long enough for some to be binding.
 const longestLimit = 9 * time.Second
 
-// oddLimits are what servers name beside limits that can be read.
+// oddLimits are the invalid or extreme limits that servers announce besides valid ones.
 var oddLimits = []string{"-1", "NaN", "1e3", "", "99999999999999999999"}
 
-// nameLimits draws limits, and servers that name them, until ctx ends. Then none is left.
+// nameLimits draws limits and the servers that announce them until ctx ends. It removes all limits
+// at the end.
 func nameLimits(ctx context.Context, w *world, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, limitSeed))
 	for ctx.Err() == nil {
@@ -140,7 +143,7 @@
 		case <-ctx.Done():
 		case <-time.After(time.Duration(r.Int64N(int64(longestLimit)))):
 		}
-		if r.IntN(3) > 0 { // else the next one changes it
+		if r.IntN(3) > 0 { // the next limits replace these
 			continue
 		}
 		w.endLimits()
@@ -154,12 +157,12 @@
 	}
 }
 
-// nameLimit makes the server name a limit in its answers, "" for none.
+// nameLimit makes the server announce a limit in its answers, "" for none.
 func (b *backend) nameLimit(text string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit = text
-	b.referee.limits.named(b.instance, text)
+	b.checker.limits.named(b.instance, text)
 }
 
 func (b *backend) limitText() string {
@@ -168,28 +171,29 @@
 	return b.limit
 }
 
-// limits is the referee of servers' limits.
+// limits checks the limits of servers.
 type limits struct {
 	mu      sync.Mutex
 	servers map[string]*limitedServer
-	// told is when each router first passed on that a server has a limit.
-	told map[toldLimit]time.Time
+	// forwarded holds the time at which each router first forwarded an answer with a
+	// server's limit.
+	forwarded map[forwardedLimit]time.Time
 }
 
-type toldLimit struct {
+type forwardedLimit struct {
 	router int
 	server string
 }
 
-// limitedServer is one instance and what reached it.
+// limitedServer holds the limits of one instance and the requests that reached it.
 type limitedServer struct {
 	arrivals []limitedArrival
-	// named are the limits that it named, in order.
+	// named are the limits that it announced, in order.
 	named []namedLimit
 }
 
-// namedLimit is a limit in force from a time, of a series that began at first. Without a
-// limit, limited is false.
+// namedLimit is a limit, or its absence if limited is false, in force from at. It belongs to a
+// series of limits that began at first.
 type namedLimit struct {
 	at, first time.Time
 	limited   bool
@@ -202,7 +206,7 @@
 }
 
 func newLimits() *limits {
-	return &limits{servers: map[string]*limitedServer{}, told: map[toldLimit]time.Time{}}
+	return &limits{servers: map[string]*limitedServer{}, forwarded: map[forwardedLimit]time.Time{}}
 }
 
 func (l *limits) server(instance string) *limitedServer {
@@ -214,8 +218,8 @@
 	return s
 }
 
-// readableLimit is how a limit is written that binds; any other ends what held before, as
-// far as it is judged.
+// readableLimit matches valid limits. For the checks here, any other text ends the previous
+// limit.
 var readableLimit = regexp.MustCompile(`^[0-9]{1,12}(\.[0-9]+)?$`)
 
 func (l *limits) named(instance, text string) {
@@ -229,19 +233,19 @@
 	if last := len(s.named) - 1; last >= 0 && s.named[last].limited {
 		next.first = s.named[last].first
 	} else {
-		l.forgetTold(instance)
+		l.clearForwarded(instance)
 	}
 	s.named = append(s.named, next)
 }
 
-// forgetTold lets a new series of limits begin: what was passed on of the last one binds
-// nobody.
-func (l *limits) forgetTold(instance string) {
-	maps.DeleteFunc(l.told, func(key toldLimit, _ time.Time) bool { return key.server == instance })
+// clearForwarded prepares a new series of limits: answers forwarded during the previous series
+// don't bind any router.
+func (l *limits) clearForwarded(instance string) {
+	maps.DeleteFunc(l.forwarded, func(key forwardedLimit, _ time.Time) bool { return key.server == instance })
 }
 
-// allowed is how many requests may reach a server within a window that ends at a time, by
-// the largest limit within it; false where none binds.
+// allowed returns how many requests may reach a server within the window that ends at a time,
+// by the largest limit within it, and whether a limit is binding at that time.
 func (s *limitedServer) allowed(at time.Time) (most float64, binds bool) {
 	for i, n := range s.named {
 		over := i+1 < len(s.named) && s.named[i+1].at.Before(at.Add(-limitWindow))
@@ -249,12 +253,12 @@
 			continue
 		}
 		most = max(most, limitOver*n.perSecond*limitWindow.Seconds()+limitSlack)
-		binds = n.limited && !at.Before(n.first.Add(contact))
+		binds = n.limited && !at.Before(n.first.Add(reactionTime))
 	}
 	return most, binds
 }
 
-// arrived notes that a request reached a server.
+// arrived records that a request reached a server.
 func (l *limits) arrived(instance string, router int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -262,18 +266,18 @@
 	s.arrivals = append(s.arrivals, limitedArrival{time.Now(), router})
 }
 
-// passedOn notes that a router passed an answer on that names its server's limit.
-func (l *limits) passedOn(router int, instance, limit string) {
+// limitForwarded records that a router forwarded an answer with its server's limit.
+func (l *limits) limitForwarded(router int, instance, limit string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	key := toldLimit{router, instance}
-	if _, known := l.told[key]; limit != "" && !known {
-		l.told[key] = time.Now()
+	key := forwardedLimit{router, instance}
+	if _, known := l.forwarded[key]; limit != "" && !known {
+		l.forwarded[key] = time.Now()
 	}
 }
 
-// series is when the series of limits began that holds at a time.
-func (s *limitedServer) series(at time.Time) time.Time {
+// seriesStart returns the start of the series of limits that is in force at a time.
+func (s *limitedServer) seriesStart(at time.Time) time.Time {
 	var first time.Time
 	for _, n := range s.named {
 		if !n.at.After(at) {
@@ -283,8 +287,8 @@
 	return first
 }
 
-// broken returns the limits that did not hold. Routers count but where they are excused.
-func (l *limits) broken(excused func(router int, at time.Time) bool) []string {
+// violations returns the limits that were exceeded. Requests of exempt routers don't count.
+func (l *limits) violations(excused func(router int, at time.Time) bool) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var broken []string
@@ -295,7 +299,7 @@
 			if !binds {
 				continue
 			}
-			if got := l.within(instance, s, last.at, excused); got.breaks(most) {
+			if got := l.countWindow(instance, s, last.at, excused); got.exceeds(most) {
 				broken = append(broken, fmt.Sprintf("%s, with limits %+v, got %+v within %v; allowed are %d", instance, s.named, got, limitWindow, int(most)))
 				break
 			}
@@ -304,13 +308,13 @@
 	return broken
 }
 
-// inWindow is what reached a server within a window: before it named its limit, on its way
-// when its router had to know of the limit, and later.
+// inWindow counts the requests that reached a server within a window: before it announced its
+// limit, in transit until its router had to apply the limit, and later.
 type inWindow struct{ before, onTheWay, later int }
 
-// breaks tells that more came than is allowed. A window may have been full when the limit was
-// named; then nothing but what was on its way may be added to it.
-func (n inWindow) breaks(most float64) bool {
+// exceeds reports whether more requests came than allowed. If the window was already full when
+// the limit was announced, only requests in transit may be added to it.
+func (n inWindow) exceeds(most float64) bool {
 	since := n.onTheWay + n.later
 	if float64(since) > most {
 		return true
@@ -321,19 +325,19 @@
 	return float64(n.before+since) > most
 }
 
-// within counts what reached a server within the window that ends at a time, of routers that
-// know of its limit by then.
-func (l *limits) within(instance string, s *limitedServer, end time.Time, excused func(router int, at time.Time) bool) inWindow {
+// countWindow counts the requests that reached a server within the window that ends at a time,
+// through routers that must have applied its limit by then.
+func (l *limits) countWindow(instance string, s *limitedServer, end time.Time, excused func(router int, at time.Time) bool) inWindow {
 	var n inWindow
-	first := s.series(end)
+	first := s.seriesStart(end)
 	for _, a := range s.arrivals {
-		told, knows := l.told[toldLimit{a.router, instance}]
-		counts := a.at.After(end.Add(-limitWindow)) && !a.at.After(end) && knows && !told.After(end.Add(-toldBefore))
+		told, knows := l.forwarded[forwardedLimit{a.router, instance}]
+		counts := a.at.After(end.Add(-limitWindow)) && !a.at.After(end) && knows && !told.After(end.Add(-forwardGrace))
 		switch {
 		case !counts || excused(a.router, a.at):
 		case a.at.Before(first):
 			n.before++
-		case a.at.Before(told.Add(toldBefore)):
+		case a.at.Before(told.Add(forwardGrace)):
 			n.onTheWay++
 		default:
 			n.later++
@@ -342,7 +346,7 @@
 	return n
 }
 
-// excused tells that a router was stopped, started, killed or paused within contact.
-func (w *world) excused(router int, at time.Time) bool {
-	return w.routers[router].disturbedWithin(at, contact)
+// exempt reports whether a router was stopped, started, killed or paused within reactionTime.
+func (w *world) exempt(router int, at time.Time) bool {
+	return w.routers[router].disturbedWithin(at, reactionTime)
 }
--- a/internal/soak/poison_test.go
+++ b/internal/soak/poison_test.go
@@ -19,192 +19,195 @@
 )
 
 const (
-	// poisonBody is the body of the request that crashes each server which runs it.
+	// poisonBody is the body of the request that crashes each server that runs it.
 	poisonBody = "crash"
-	// backAfter is how long after a crash the server is back.
+	// backAfter is the time from a crash of a server to its restart.
 	backAfter = 700 * time.Millisecond
-	// contact is the users' bound: so long after the third server ended under a
-	// request, no more than lateRetries of it may reach servers.
-	contact     = 3 * time.Second
-	lateRetries = 3
-	// poisonPause is the time between two tries of its caller.
+	// reactionTime and lateRetries are the bound required by users: from reactionTime
+	// after the third server crashed by a request, it may reach servers at most
+	// lateRetries more times.
+	reactionTime = 3 * time.Second
+	lateRetries  = 3
+	// poisonPause is the time between two attempts of its caller.
 	poisonPause = 200 * time.Millisecond
-	// poisonTries is how often it comes after each phase of the test.
+	// poisonTries is the number of attempts in each phase of a test.
 	poisonTries = 12
-	// addresses is from how many the request comes in turn.
+	// addresses is the number of source addresses, used in rotation.
 	addresses = 12
-	// poisonSeed is the network of the worlds, apart from those of other tests.
+	// poisonSeed selects the networks of the deployments, distinct from other tests.
 	poisonSeed = 77
 )
 
-// One caller's request crashes each engine that runs it. The caller sends it again and
-// again under new ids, from several addresses, to all routers in turn. Users saw their streams break and their
-// model gone from one engine after the other, twelve in all: each router judged each
-// try as a new request. From the third engine on it must reach no further one: also
-// after a router, and then all routers and loaders, have started again; and its
-// refusal must not promise that nothing ran. All others are served.
+// Guards against a request that crashes one engine after another. Its caller repeats it under
+// new ids, from several addresses, to all routers in rotation. If each router treated each
+// attempt as a new request, it would crash more and more engines (in one case 12), and users
+// would lose their streams and the model there. After three crashes it must not reach further engines, also after a restart
+// of one router and then of all routers and loaders; its refusal must not state that nothing
+// ran; and all other requests must be served.
 func TestPoisonRequestReachesFewServers(t *testing.T) {
 	w := newWorld(t, poisonSeed)
 	defer w.close()
-	p := newPoisoner(w)
-	stop := w.callBeside(3)
+	p := newPoisonCaller(w)
+	stop := w.startCallers(3)
 	defer stop()
 	w.awaitServed(t)
 	p.untilThird(t)
-	p.tries(poisonTries)
+	p.sendAttempts(poisonTries)
 	w.startAgain(w.routers[:1])
-	p.tries(poisonTries)
+	p.sendAttempts(poisonTries)
 	w.startAgain(w.processes())
 	w.awaitServed(t)
-	p.tries(poisonTries)
+	p.sendAttempts(poisonTries)
 	w.awaitServed(t)
 	stop()
 	w.reportPoison(t, poisonSeed)
 }
 
-// The same, and the third engine ends while the store does not answer: the routers tell
-// each other, and know it still when the engines are back in the registry.
+// Guards against the same failure when the third engine crashes while the store does not
+// answer. The routers must inform each other, and must keep this state after the engines are
+// back in the registry.
 func TestPoisonRequestWhileTheStoreIsAway(t *testing.T) {
 	w := newWorld(t, poisonSeed+1)
 	defer w.close()
-	p := newPoisoner(w)
-	stop := w.callBeside(3)
+	p := newPoisonCaller(w)
+	stop := w.startCallers(3)
 	defer stop()
 	w.awaitServed(t)
 	p.untilSecond(t)
 	w.store.setMode(storeHangs)
 	p.untilThird(t)
-	p.tries(poisonTries)
+	p.sendAttempts(poisonTries)
 	w.store.setMode(storeWorks)
 	w.awaitServed(t)
-	p.tries(poisonTries)
+	p.sendAttempts(poisonTries)
 	stop()
 	w.reportPoison(t, poisonSeed+1)
 }
 
-// One router is frozen while three engines end under tries at the others. Once it runs
-// again it knows what they told meanwhile.
+// Guards against a router that was paused while attempts at the other routers crashed three
+// engines. After it resumes, it must refuse the poison request.
 func TestFrozenRouterLearnsOfPoison(t *testing.T) {
 	w := newWorld(t, poisonSeed+2)
 	defer w.close()
-	p := newPoisoner(w)
-	stop := w.callBeside(1)
+	p := newPoisonCaller(w)
+	stop := w.startCallers(1)
 	w.awaitServed(t)
 	stop()
 	frozen := w.routers[0]
 	frozen.signal(syscall.SIGSTOP)
-	p.leaveOut = 1
+	p.skipRouters = 1
 	p.untilThird(t)
 	frozen.signal(syscall.SIGCONT)
-	p.leaveOut = 0
-	p.tries(poisonTries)
+	p.skipRouters = 0
+	p.sendAttempts(poisonTries)
 	w.reportPoison(t, poisonSeed+2)
 }
 
-// An operator has mended the servers, or knows better. Lifted at one router, the request
-// is sent again, whichever router it comes to: a further server ends.
+// Guards against a block that an operator cannot lift, for example after a repair of the
+// servers. After the block is lifted at one router, every router must forward the request
+// again, so another server crashes.
 func TestLiftedRequestIsSentAgain(t *testing.T) {
 	w := newWorld(t, poisonSeed+3)
 	defer w.close()
-	p := newPoisoner(w)
-	stop := w.callBeside(1)
+	p := newPoisonCaller(w)
+	stop := w.startCallers(1)
 	defer stop()
 	w.awaitServed(t)
-	p.until(t, func(*referee) bool { return p.refused >= routerCount })
-	ends := w.referee.poisonEnds()
+	p.until(t, func(*checker) bool { return p.refused >= routerCount })
+	ends := w.checker.poisonEnds()
 	api := client.New(fmt.Sprintf("http://%s:%d", w.host(1, 0), operatorsPort), "", nil)
 	if _, err := api.Lift(t.Context(), "no fingerprint"); err == nil {
-		t.Error("lifted what is no fingerprint")
+		t.Error("lifting succeeded with an invalid fingerprint")
 	}
 	_, err := api.Lift(t.Context(), p.fingerprint)
 	w.check(err)
-	p.until(t, func(r *referee) bool { return r.poisonEnds() > ends })
+	p.until(t, func(r *checker) bool { return r.poisonEnds() > ends })
 	stop()
 	w.quiesce()
 	w.report(t, poisonSeed+3, &faults{world: w})
 }
 
-// poisoner sends the same request again and again.
-type poisoner struct {
+// poisonCaller repeats the poison request.
+type poisonCaller struct {
 	*caller
 	sent int
-	// leaveOut is how many routers, the first ones, get no tries.
-	leaveOut int
-	// refused is how many tries were refused as poison, fingerprint what the last of
-	// these refusals called the request.
+	// skipRouters is the number of first routers that get no attempts.
+	skipRouters int
+	// refused is the number of attempts refused as poison; fingerprint is the request's
+	// fingerprint in the last of these refusals.
 	refused     int
 	fingerprint string
 }
 
-func newPoisoner(w *world) *poisoner {
-	return &poisoner{caller: newCaller(w, "poison", &atomic.Bool{})}
+func newPoisonCaller(w *world) *poisonCaller {
+	return &poisonCaller{caller: newCaller(w, "poison", &atomic.Bool{})}
 }
 
-// from returns a transport that calls from one of several addresses.
+// from returns a transport that uses the n-th source address.
 func from(n int) *http.Transport {
 	dialer := &net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, byte(2+n))}}
 	return &http.Transport{DisableKeepAlives: true, DialContext: dialer.DialContext}
 }
 
-// untilThird tries until three servers have ended, and then until contact is over.
-func (p *poisoner) untilThird(t *testing.T) {
+// untilThird sends attempts until reactionTime after the third server crash.
+func (p *poisonCaller) untilThird(t *testing.T) {
 	t.Helper()
-	p.until(t, func(r *referee) bool { return r.thirdEnd() > contact })
+	p.until(t, func(r *checker) bool { return r.thirdEnd() > reactionTime })
 }
 
-func (p *poisoner) untilSecond(t *testing.T) {
+func (p *poisonCaller) untilSecond(t *testing.T) {
 	t.Helper()
-	p.until(t, func(r *referee) bool { return r.poisonEnds() > 1 })
+	p.until(t, func(r *checker) bool { return r.poisonEnds() > 1 })
 }
 
-func (p *poisoner) until(t *testing.T, holds func(*referee) bool) {
+func (p *poisonCaller) until(t *testing.T, holds func(*checker) bool) {
 	t.Helper()
-	for limit := time.Now().Add(hangGuard); !holds(p.world.referee); {
+	for limit := time.Now().Add(waitLimit); !holds(p.world.checker); {
 		if time.Now().After(limit) {
-			t.Fatalf("%d servers ended in %d tries; logs: %s", p.world.referee.poisonEnds(), p.sent, p.world.dir)
+			t.Fatalf("%d servers crashed in %d attempts; logs: %s", p.world.checker.poisonEnds(), p.sent, p.world.dir)
 		}
-		p.tries(1)
+		p.sendAttempts(1)
 	}
 }
 
-func (p *poisoner) run(ctx context.Context) {
+func (p *poisonCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.tries(1)
+		p.sendAttempts(1)
 	}
 }
 
-func (p *poisoner) tries(n int) {
+func (p *poisonCaller) sendAttempts(n int) {
 	for range n {
-		p.try()
+		p.sendAttempt()
 		time.Sleep(poisonPause)
 	}
 }
 
-func (p *poisoner) try() {
+func (p *poisonCaller) sendAttempt() {
 	p.sent++
-	p.router = p.leaveOut + p.sent%(routerCount-p.leaveOut)
+	p.router = p.skipRouters + p.sent%(routerCount-p.skipRouters)
 	p.client.Transport = from(p.sent % addresses)
 	id := fmt.Sprintf("poison-%d", p.sent)
-	a := asked{method: http.MethodPost, path: "/plainstream/poison", body: poisonBody, model: modelNames[0], account: steadyAccount, router: p.router}
+	a := sentRequest{method: http.MethodPost, path: "/plainstream/poison", body: poisonBody, model: modelNames[0], account: steadyAccount, router: p.router}
 	ctx, cancel := context.WithTimeout(context.Background(), callerDeadline)
 	defer cancel()
 	request, err := p.request(ctx, id, steadyKey, a)
 	if err != nil {
-		p.world.referee.breaks("request %s: %v", id, err)
+		p.world.checker.reportViolation("request %s: %v", id, err)
 		return
 	}
-	p.world.referee.sends(id, a)
+	p.world.checker.requestSent(id, a)
 	response, err := p.client.Do(request)
 	if err != nil {
-		return // its server or router has just ended
+		return // its server or router has just stopped
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	p.noteRefusal(body)
-	p.judge(id, "plainstream", a, response, string(body), err)
+	p.checkResponse(id, "plainstream", a, response, string(body), err)
 }
 
-func (p *poisoner) noteRefusal(body []byte) {
+func (p *poisonCaller) noteRefusal(body []byte) {
 	var refusal struct {
 		Code   code.Code `json:"code"`
 		Reason string    `json:"reason"`
@@ -215,8 +218,8 @@
 	}
 }
 
-// callBeside lets callers call until the function that it returns is called.
-func (w *world) callBeside(n int) (stop func()) {
+// startCallers starts n callers, which call until stop is called.
+func (w *world) startCallers(n int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var calling sync.WaitGroup
 	for i := range n {
@@ -229,7 +232,7 @@
 	}
 }
 
-// startAgain kills processes at once and starts them again.
+// startAgain kills processes at the same time and restarts them.
 func (w *world) startAgain(all []*process) {
 	w.t.Helper()
 	var ending sync.WaitGroup
@@ -242,33 +245,33 @@
 	}
 }
 
-// reportPoison judges a world whose callers have stopped.
+// reportPoison checks a world whose callers have stopped.
 func (w *world) reportPoison(t *testing.T, seed uint64) {
 	t.Helper()
 	w.quiesce()
-	ends, late := w.referee.poisonEnds(), w.referee.lateRuns()
-	t.Logf("%d servers ended, the request reached them %d times later than %v after the third", ends, late, contact)
+	ends, late := w.checker.poisonEnds(), w.checker.lateRuns()
+	t.Logf("%d servers crashed; the request reached servers %d times later than %v after the third crash", ends, late, reactionTime)
 	if late > lateRetries {
-		w.referee.breaks("the request reached servers %d times later than %v after the third had ended, %d ended in all", late, contact, ends)
+		w.checker.reportViolation("the request reached servers %d times later than %v after the third crash, %d servers crashed in all", late, reactionTime, ends)
 	}
 	w.report(t, seed, &faults{world: w})
 }
 
-// poisoned notes that a server begins to run the poison request, and will end.
-func (r *referee) poisoned() {
+// poisoned records that a server starts to run the poison request and will crash.
+func (r *checker) poisoned() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.poison = append(r.poison, time.Now())
 }
 
-func (r *referee) poisonEnds() int {
+func (r *checker) poisonEnds() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.poison)
 }
 
-// thirdEnd is how long ago the third server ended, 0 before.
-func (r *referee) thirdEnd() time.Duration {
+// thirdEnd returns the time since the third server crash, or 0 before it.
+func (r *checker) thirdEnd() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.poison) < 3 {
@@ -277,30 +280,31 @@
 	return time.Since(r.poison[2])
 }
 
-// lateRuns is how often the request reached servers later than contact after the third
-// had ended.
-func (r *referee) lateRuns() int {
+// lateRuns returns how often the request reached servers later than reactionTime after the
+// third server crash.
+func (r *checker) lateRuns() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, at := range r.poison[min(3, len(r.poison)):] {
-		if at.Sub(r.poison[2]) > contact {
+		if at.Sub(r.poison[2]) > reactionTime {
 			n++
 		}
 	}
 	return n
 }
 
-// crashAndReturn ends the server under a poison request, and starts it again later.
+// crashAndReturn crashes the server because of a poison request and restarts it after
+// backAfter.
 func (b *backend) crashAndReturn() {
-	b.referee.poisoned()
+	b.checker.poisoned()
 	b.tasks.Go(func() {
-		b.turn.Lock()
-		defer b.turn.Unlock()
+		b.lifecycle.Lock()
+		defer b.lifecycle.Unlock()
 		b.crash()
 		time.Sleep(backAfter)
 		if err := b.start(); err != nil {
-			b.referee.breaks("not started again: %v", err)
+			b.checker.reportViolation("restart failed: %v", err)
 		}
 	})
 }
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -18,19 +18,20 @@
 
 func TestMain(m *testing.M) { selfexec.Main(m) }
 
-// process is a router or loader that is started again after each end.
+// process is a router or loader that can be restarted.
 type process struct {
 	role, settings, log string
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// ended is closed when the present life is over.
+	// ended is closed when the current operating system process has exited.
 	ended chan struct{}
-	// down is set from a signal to end until the next start.
+	// down is set from the terminating signal until the next start.
 	down bool
-	// crashes are ends that no signal of the soak explains: how, and how long after the start.
+	// crashes describes exits without a terminating signal from the test: the state, and the
+	// time since the start.
 	crashes []string
-	// disturbed is when it was started and got signals.
+	// disturbed holds the times of starts and signals.
 	disturbed []time.Time
 }
 
@@ -53,11 +54,11 @@
 	p.disturbed = append(p.disturbed, time.Now())
 	started := time.Now()
 	go func() {
-		_ = cmd.Wait() // its status is told below
+		_ = cmd.Wait() // its status is recorded below
 		_ = log.Close()
 		p.mu.Lock()
 		if !p.down {
-			p.crashes = append(p.crashes, fmt.Sprintf("%v, %v after its start", cmd.ProcessState, time.Since(started)))
+			p.crashes = append(p.crashes, fmt.Sprintf("%v, %v after the start", cmd.ProcessState, time.Since(started)))
 		}
 		p.mu.Unlock()
 		close(ended)
@@ -65,12 +66,12 @@
 	return nil
 }
 
-// programPoll is the pause between two looks at a process that starts.
+// programPoll is the interval of the checks on a starting process.
 const programPoll = time.Millisecond
 
-// signal sends a signal that does not end the process. SIGHUP waits for the program's first
-// instruction: before that it ends any program, and a parent that starts a process holds the
-// lock, so that what comes meanwhile would come at that moment.
+// signal sends a signal that does not terminate the process. SIGHUP waits until the Go runtime
+// of the process runs, because before that it terminates any program. Signals that wait for the
+// lock during a start would otherwise be sent exactly at that moment.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,8 +86,8 @@
 
 var oneThread = regexp.MustCompile(`(?m)^Threads:\t1$`)
 
-// runs tells whether the Go runtime of the process has begun, which starts threads, or the
-// process has ended. It holds p.mu.
+// runs reports whether the Go runtime of the process has started, which creates threads, or
+// the process has exited. The caller holds p.mu.
 func (p *process) runs() bool {
 	select {
 	case <-p.ended:
@@ -97,8 +98,8 @@
 	return err != nil || !oneThread.Match(status)
 }
 
-// end ends the process by SIGTERM, and by SIGKILL when that has no effect. It
-// reports false if another fault is ending it already.
+// end terminates the process by the signal, and by SIGKILL if it has not exited after
+// stopLimit and a second. It reports false if another fault is already terminating it.
 func (p *process) end(s syscall.Signal) bool {
 	p.mu.Lock()
 	if p.down {
@@ -120,15 +121,15 @@
 	return true
 }
 
-// disturbedWithin tells whether the process was started or got a signal within a time
-// before.
+// disturbedWithin reports whether the process was started or got a signal less than span
+// before at.
 func (p *process) disturbedWithin(at time.Time, span time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.disturbed, func(d time.Time) bool { return !d.After(at) && at.Sub(d) < span })
 }
 
-func (p *process) ownEnds() []string {
+func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.crashes)
@@ -140,10 +141,11 @@
 	return path, os.WriteFile(path, []byte(text), 0o644)
 }
 
-// awaitLines waits until the log has so many lines on a start, or the process has ended.
+// awaitLines waits until the log has the given number of start messages or the process has
+// exited.
 func (p *process) awaitLines(starts int) {
 	for {
-		log, _ := os.ReadFile(p.log) // not there yet is none
+		log, _ := os.ReadFile(p.log) // a missing file has no lines
 		if bytes.Count(log, []byte(`"loader starting"`)) >= starts {
 			return
 		}
@@ -155,8 +157,8 @@
 	}
 }
 
-// Guards against a soak that takes the end of a process by SIGHUP for its own fault where the
-// signal came before the program's first instruction: then it ends any program.
+// Guards against a test that reports a crash although the process was terminated by a SIGHUP
+// sent before its Go runtime had started. At that time SIGHUP terminates any program.
 func TestHangupFollowsTheStart(t *testing.T) {
 	settings, err := writeSettings(t.TempDir(), "loader", `{
 		"role": "loader", "host": "l", "address": "127.0.0.1", "zone": "z", "peers": "127.0.0.1:0",
@@ -174,7 +176,7 @@
 		p.awaitLines(i + 1)
 		p.end(syscall.SIGKILL)
 	}
-	for _, end := range p.ownEnds() {
+	for _, end := range p.unexpectedExits() {
 		t.Error(end)
 	}
 }
--- a/internal/soak/report_test.go
+++ b/internal/soak/report_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// A load ends while the engine is asked for its report. The report must tell of one moment:
-// with the model that was not there yet and the order that was over already, the loader
-// took the order for one without effect and gave it again.
+// Guards against an inconsistent report of the engine stand-in when a load ends while the
+// report is built. With a list of models from before the end of the load and a busy flag from
+// after it, the loader concludes that its order had no effect and repeats it.
 func TestReportOfTheStandInIsOfOneMoment(t *testing.T) {
 	const loads, readers = 20, 32
-	e := &engine{name: "engine", referee: newReferee(), onDisk: []string{"m0"}}
+	e := &engine{name: "engine", checker: newChecker(), onDisk: []string{"m0"}}
 	var torn atomic.Bool
 	for range loads {
 		e.restart()
@@ -34,11 +34,11 @@
 		reading.Wait()
 	}
 	if torn.Load() {
-		t.Error("a report tells neither the load nor the model")
+		t.Error("a report contains neither the load nor the model")
 	}
 }
 
-// tornReport tells that a report has neither the load under way nor the model.
+// tornReport reports whether a report contains neither the running load nor the model.
 func tornReport(t *testing.T, e *engine) bool {
 	w := httptest.NewRecorder()
 	e.report(w)
--- /dev/null
+++ b/internal/soak/result_checker_test.go
@@ -0,0 +1,150 @@
+package soak
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+)
+
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+
+// sentRequest is a request as its caller sent it.
+type sentRequest struct {
+	method, path, body, model string
+	// account is the account that the server must receive, "" for an unknown key, whose
+	// request must not run. shown are the credentials that a server received; there must
+	// be none.
+	account, shown string
+	// router is the index of the router that received the request.
+	router int
+	// repeatable requests may run more than once.
+	repeatable bool
+}
+
+// checker compares the requests and answers of callers with the runs on backend
+// servers. Requests are identified by their ids.
+type checker struct {
+	mu    sync.Mutex
+	asked map[string]sentRequest
+	runs  map[string]int
+	// notRun holds the statuses of requests that were refused as not run.
+	notRun   map[string]string
+	served   map[string]int
+	recorded []string
+	// poison holds the times at which servers started to run the poison request.
+	poison []time.Time
+	// sent holds the times at which requests of the busy account were sent; busyRuns are
+	// the first runs of these requests.
+	sent     map[string]time.Time
+	busyRuns []use
+	// limits checks the requests that reach servers with a limit.
+	limits *limits
+}
+
+func newChecker() *checker {
+	return &checker{asked: map[string]sentRequest{}, runs: map[string]int{}, notRun: map[string]string{}, served: map[string]int{}, sent: map[string]time.Time{}, limits: newLimits()}
+}
+
+func (r *checker) reportViolation(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.recorded = append(r.recorded, fmt.Sprintf(format, args...))
+}
+
+func (r *checker) requestSent(id string, a sentRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.asked[id] = a
+	if a.account == busyAccount {
+		r.sent[id] = time.Now()
+	}
+}
+
+// runStarted records that a backend server starts to run a request, and checks that the
+// request is the one that its caller sent.
+func (r *checker) runStarted(server, id string, got sentRequest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	want, known := r.asked[id]
+	got.repeatable, got.router = want.repeatable, want.router
+	switch {
+	case !known:
+		r.recorded = append(r.recorded, fmt.Sprintf("%s ran %q, which no caller sent", server, id))
+	case want.account == "":
+		r.recorded = append(r.recorded, fmt.Sprintf("%s ran %s, whose key is unknown", server, id))
+	case got != want:
+		r.recorded = append(r.recorded, fmt.Sprintf("%s ran %s as %+v, sent was %+v", server, id, got, want))
+	}
+	r.runs[id]++
+	if want.account == busyAccount && r.runs[id] == 1 {
+		r.busyRuns = append(r.busyRuns, use{sent: r.sent[id], began: time.Now(), tokens: want.tokens()})
+	}
+}
+
+// arrived records that a request reached a server through its router.
+func (r *checker) arrived(server, id string) {
+	r.mu.Lock()
+	want := r.asked[id]
+	r.mu.Unlock()
+	r.limits.arrived(server, want.router)
+}
+
+func (r *checker) hasRun(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.runs[id] > 0
+}
+
+// refusedNotRun records an answer by which the request did not and will not run.
+func (r *checker) refusedNotRun(id, status string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.notRun[id] = status
+}
+
+func (r *checker) callServed(kind string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.served[kind]++
+}
+
+// requests returns the number of requests that callers sent.
+func (r *checker) requests() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.asked)
+}
+
+// counts returns the number of served requests of each kind.
+func (r *checker) counts() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return maps.Clone(r.served)
+}
+
+// busiest returns the maximum number of tokens of the busy account within a window.
+func (r *checker) busiest() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return worstWindow(r.busyRuns)
+}
+
+// violations returns all violations found so far. The result is final once no request
+// can run.
+func (r *checker) violations() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	broken := slices.Clone(r.recorded)
+	for _, id := range sortedKeys(r.runs) {
+		if r.runs[id] > 1 && !r.asked[id].repeatable {
+			broken = append(broken, fmt.Sprintf("%s ran %d times", id, r.runs[id]))
+		}
+		if status, ok := r.notRun[id]; ok {
+			broken = append(broken, fmt.Sprintf("%s was refused as not run (%s) but ran", id, status))
+		}
+	}
+	return broken
+}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -26,128 +26,130 @@
 const (
 	// callers is the number of callers, each with one call at a time.
 	callers = 12
-	// hangGuard ends a wait that would never end. No check depends on its length.
-	hangGuard = 90 * time.Second
-	// servedAgain is how many calls of each kind must be served after all faults
-	// have ended.
-	servedAgain = 20
-	// plannedEvery is the number of seeds of which one has planned work only.
+	// waitLimit bounds every wait, so that a hanging test fails. No check depends
+	// on its value.
+	waitLimit = 90 * time.Second
+	// minServed is the number of calls of each kind that must be served after all
+	// faults have ended.
+	minServed = 20
+	// plannedEvery is n where every n-th seed has planned faults only.
 	plannedEvery = 3
 )
 
-// Callers go on while processes are stopped, killed and paused, paths are cut,
-// slowed, reset and silenced, backend servers crash, lie and leave and the store
-// is away, several at a time. Nobody may see a wrong, doubled or half answer, a
-// refused request that ran, or a system that does not serve again afterwards.
+// Guards against wrong, duplicate and incomplete answers, refused requests that
+// ran, and a system that does not recover. Several faults at a time overlap with
+// calls: processes are stopped, killed and paused, network paths are cut, slowed,
+// reset and silenced, backend servers crash, misbehave and leave, and the store is
+// unavailable.
 func TestSeeds(t *testing.T) {
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed, nil) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, nil) })
 	}
 }
 
-// A request that crashes each engine that runs it comes all the while, among the faults
-// of a seed. No request that is well may be taken for it. How many engines it ends is
-// told but has no bound here: routers that are cut off or have just started may not
-// know of it.
+// Guards against refusing healthy requests as poison. A request that crashes each engine
+// that runs it is sent continuously during the faults of a seed. The number of crashed
+// engines is logged but not bounded here, because routers that are isolated or have just
+// started may not have been informed of the request.
 func TestPoisonAmongFaults(t *testing.T) {
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed, callPoison) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, callPoison) })
 	}
 }
 
-// Backend servers name limits, change them and take them back all the while, among the
-// faults of a seed: one server, several, or all of a service. Each limit must hold over all
-// routers that know of it and run undisturbed, whoever ends, is cut off or starts anew, and
-// what is refused for it must not have run.
+// Guards against exceeded limits of backend servers during the faults of a seed. One server,
+// several, or all of a service set, change and remove limits continuously. Each limit must
+// hold for the sum of all routers that have received it and have not been disturbed, whatever
+// else stops, is isolated or restarts, and requests refused because of it must not have run.
 func TestLimitsAmongFaults(t *testing.T) {
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(t, seed, nameLimits) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, nameLimits) })
 	}
 }
 
-// boundSeeds are seeds that broke the bound of the busy account once, by up to 29%: routers
-// and loaders are stopped or killed several times within some seconds.
+// boundSeeds are seeds that exceeded the bound of the busy account by up to 29%: routers and
+// loaders are stopped or killed several times within some seconds.
 var boundSeeds = []uint64{118, 401, 435, 488}
 
-// Whatever ends and starts anew, the busy account may not use more than its bound within any
-// window. The other tests of seeds tell how much it used and do not judge it, so that each
-// fault has one test.
+// Guards against an account that uses more than its bound within a window while processes stop
+// and restart. The other tests of seeds only log the use of the busy account, so that each
+// failure belongs to one test.
 func TestAccountBoundAmongFaults(t *testing.T) {
 	for _, seed := range boundSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			if used := play(t, seed, nil); used > busyMost {
-				t.Errorf("%d tokens of the busy account ran within a window, allowed are %d", used, int(busyMost))
+			if used := runSeed(t, seed, nil); used > busyBound {
+				t.Errorf("%d tokens of the busy account ran within a window, allowed are %d", used, int(busyBound))
 			}
 		})
 	}
 }
 
-// regressions are the seeds that failed once, with the cause. They are played in
-// CI beside the others.
+// regressions maps seeds that have failed to the cause of the failure. CI runs them
+// in addition to the other seeds.
 var regressions = map[uint64]string{
 	15:  "a stand-in could not bind its port while a process was being started",
 	480: "as seed 15, for longer than the stand-in tried",
-	476: "the stand-in of an engine told its models and whether it is busy of two moments, and was ordered to load what it had",
-	118: "a stream broke off and was to go on at a server that answered 500: that answer ended the stream as complete",
+	476: "the engine stand-in reported its models and whether it is busy as of two moments, and was ordered to load a loaded model",
+	118: "a stream was interrupted and resumed at a server that answered 500: that answer ended the stream as complete",
 }
 
-// poisonRegressions are those of TestPoisonAmongFaults.
+// poisonRegressions are the regressions of TestPoisonAmongFaults.
 var poisonRegressions = map[uint64]string{
-	315: "a stream that was sent on with the poison request to three engines was taken for it",
+	315: "a stream that was forwarded to three engines together with the poison request was classified as poison",
 }
 
-// limitRegressions are those of TestLimitsAmongFaults.
+// limitRegressions are the regressions of TestLimitsAmongFaults.
 var limitRegressions = map[uint64]string{
-	2030: "a router that got SIGHUP while it started ended by it",
-	2046: "a loader that got SIGHUP while it started ended by it",
+	2030: "SIGHUP during the start terminated a router",
+	2046: "SIGHUP during the start terminated a loader",
 }
 
-// Seeds that failed once stay mended.
+// Guards against the failures listed in limitRegressions.
 func TestLimitRegressions(t *testing.T) {
 	for _, seed := range sortedKeys(limitRegressions) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Log(limitRegressions[seed])
-			play(t, seed, nameLimits)
+			runSeed(t, seed, nameLimits)
 		})
 	}
 }
 
-// Seeds that failed once stay mended.
+// Guards against the failures listed in poisonRegressions.
 func TestPoisonRegressions(t *testing.T) {
 	for _, seed := range sortedKeys(poisonRegressions) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Log(poisonRegressions[seed])
-			play(t, seed, callPoison)
+			runSeed(t, seed, callPoison)
 		})
 	}
 }
 
-// Seeds that failed once stay mended.
+// Guards against the failures listed in regressions.
 func TestRegressions(t *testing.T) {
 	for _, seed := range sortedKeys(regressions) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Log(regressions[seed])
-			play(t, seed, nil)
+			runSeed(t, seed, nil)
 		})
 	}
 }
 
-// beside is what goes on among the faults of a seed until ctx ends.
-type beside func(ctx context.Context, w *world, seed uint64)
+// extraLoad runs in addition to the callers during the faults of a seed until ctx ends.
+type extraLoad func(ctx context.Context, w *world, seed uint64)
 
-// callPoison lets a request come all the while that crashes the engines which run it.
-func callPoison(ctx context.Context, w *world, _ uint64) { newPoisoner(w).run(ctx) }
+// callPoison continuously sends a request that crashes each engine that runs it.
+func callPoison(ctx context.Context, w *world, _ uint64) { newPoisonCaller(w).run(ctx) }
 
-// play plays a seed, with more beside its callers where that is given, and returns what the
-// busy account used in its worst window.
-func play(t *testing.T, seed uint64, more beside) int {
+// runSeed runs a seed, with more in addition to the callers unless it is nil, and returns the
+// number of tokens that the busy account used in its worst window.
+func runSeed(t *testing.T, seed uint64, more extraLoad) int {
 	w := newWorld(t, seed)
 	defer w.close()
 	onlyPlanned := seed%plannedEvery == 0
-	// A request that crashes servers is no planned work, whatever else goes on.
+	// A request that crashes servers is an unplanned fault.
 	nothingLost := onlyPlanned && more == nil
 	var isPlanned atomic.Bool
 	ctx, cancel := context.WithCancel(context.Background())
@@ -176,17 +178,17 @@
 	w.awaitConfig(t)
 	cancel()
 	calling.Wait()
-	for _, name := range w.leaks() {
-		w.referee.breaks("%s shows an API key", name)
+	for _, name := range w.leakedKeys() {
+		w.checker.reportViolation("%s shows an API key", name)
 	}
 	w.quiesce()
 	w.report(t, seed, f)
-	return w.referee.busiest()
+	return w.checker.busiest()
 }
 
-// quiesce ends the routers, then lets the backend servers end what they have got.
-// After it nobody can send or run a request any more, so that a request which was
-// told as not run and never ran never will.
+// quiesce stops the routers and then waits until the backend servers have finished
+// all requests. After it no request can be sent or run, so a request that was
+// refused as not run and has not run yet can no longer run.
 func (w *world) quiesce() {
 	var ending sync.WaitGroup
 	for _, router := range w.routers {
@@ -202,10 +204,10 @@
 // awaitServed waits until calls of each kind are served again.
 func (w *world) awaitServed(t *testing.T) {
 	t.Helper()
-	before := w.referee.counts()
+	before := w.checker.counts()
 	w.await(t, "calls of each kind to be served", func() bool {
-		now := w.referee.counts()
-		return !slices.ContainsFunc(kindsOfCall, func(kind string) bool { return now[kind] < before[kind]+servedAgain })
+		now := w.checker.counts()
+		return !slices.ContainsFunc(kindsOfCall, func(kind string) bool { return now[kind] < before[kind]+minServed })
 	})
 }
 
@@ -218,8 +220,8 @@
 		w.await(t, fmt.Sprintf("router%d to have version %d", i, w.version), func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), callerDeadline)
 			defer cancel()
-			// The probe has no id: a server refuses it, but only where its route
-			// is known does it get there.
+			// The probe has no request id, so a server refuses it. It reaches a
+			// server only if the router has its route.
 			status, _, err := c.get(ctx, i, callersPort, "/"+versionRoute(w.version)+"/x")
 			return err == nil && status != http.StatusNotFound
 		})
@@ -228,43 +230,44 @@
 
 func (w *world) await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	limit := time.Now().Add(hangGuard)
+	limit := time.Now().Add(waitLimit)
 	for !holds() {
 		if time.Now().After(limit) {
-			t.Fatalf("waited in vain for %s; served so far: %v; broken so far: %q; processes that ended by themselves: %q; logs: %s",
-				what, w.referee.counts(), w.referee.judge(), w.ownEnds(), w.dir)
+			t.Fatalf("timed out waiting for %s; served so far: %v; violations so far: %q; unexpected process exits: %q; logs: %s",
+				what, w.checker.counts(), w.checker.violations(), w.unexpectedExits(), w.dir)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// ownEnds are the processes that ended without a signal of the soak.
-func (w *world) ownEnds() []string {
+// unexpectedExits lists the processes that exited without a signal from the test.
+func (w *world) unexpectedExits() []string {
 	var names []string
 	for _, p := range w.processes() {
-		for _, how := range p.ownEnds() {
-			names = append(names, fmt.Sprintf("%s ended by itself: %s", p.log, how))
+		for _, how := range p.unexpectedExits() {
+			names = append(names, fmt.Sprintf("%s exited unexpectedly: %s", p.log, how))
 		}
 	}
 	return names
 }
 
-// report fails the test if a promise is broken, and tells how to look into it.
+// report fails the test on any violation and then logs the faults and the directory
+// of the logs. It removes the logs of a seed without violations unless -keep is set.
 func (w *world) report(t *testing.T, seed uint64, f *faults) {
 	t.Helper()
-	broken := w.referee.judge()
-	broken = append(broken, w.ownEnds()...)
-	broken = append(broken, w.referee.limits.broken(w.excused)...)
-	served := w.referee.counts()
-	t.Logf("seed %d: %d faults, %d requests, served %v, servers ended by a poison request: %d, worst window of the busy account: %d of %d",
-		seed, len(f.told), w.referee.requests(), served, w.referee.poisonEnds(), w.referee.busiest(), int(busyMost))
+	broken := w.checker.violations()
+	broken = append(broken, w.unexpectedExits()...)
+	broken = append(broken, w.checker.limits.violations(w.exempt)...)
+	served := w.checker.counts()
+	t.Logf("seed %d: %d faults, %d requests, served %v, servers crashed by a poison request: %d, worst window of the busy account: %d of %d",
+		seed, len(f.log), w.checker.requests(), served, w.checker.poisonEnds(), w.checker.busiest(), int(busyBound))
 	if len(broken) == 0 && !*keepLogs {
 		if err := os.RemoveAll(w.dir); err != nil {
 			t.Error(err)
 		}
 		return
 	}
-	t.Logf("faults:\n%s\nlogs: %s", strings.Join(f.told, "\n"), w.dir)
+	t.Logf("faults:\n%s\nlogs: %s", strings.Join(f.log, "\n"), w.dir)
 	slices.Sort(broken)
 	for _, line := range slices.Compact(broken) {
 		t.Error(line)
--- a/internal/soak/store_test.go
+++ b/internal/soak/store_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// storeMode is how the store answers.
+// storeMode is the behaviour of the store.
 type storeMode int
 
 const (
@@ -24,7 +24,7 @@
 	storeHangs
 )
 
-// item is a value of the store as the platform's protocol spells it.
+// item is a value of the store in the encoding of the platform's protocol.
 type item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -32,20 +32,20 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// store is a stand-in of the platform's metadata store: reads, ranges and
-// watches over HTTP; operators and backend servers write to it directly.
+// store is a stand-in for the platform's metadata store. The processes under test
+// use it over HTTP; operators and backend servers write to it directly.
 type store struct {
 	mu       sync.Mutex
 	changed  *sync.Cond
 	items    map[string]item
 	history  []item
 	revision int64
-	// forgotten is the revision up to which history is gone.
+	// forgotten is the revision up to which the history has been discarded.
 	forgotten int64
 	mode      storeMode
-	// lease is the last one granted. Leases outlive a soak.
+	// lease is the last lease granted. Leases don't expire within a test.
 	lease int64
-	// era rises each time the store goes back to a copy.
+	// era is incremented each time the store is restored from a copy.
 	era    int64
 	copies copies
 }
@@ -86,7 +86,7 @@
 	s.changed.Broadcast()
 }
 
-// keepCopies copies what the store holds from time to time, until ctx ends.
+// keepCopies copies the store's contents every copyPause until ctx ends.
 func (s *store) keepCopies(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -96,9 +96,9 @@
 	}
 }
 
-// goBack replaces what the store holds by a copy of some time ago. Its revisions go back
-// and are given out again.
-func (s *store) goBack() {
+// restoreCopy replaces the store's contents by the oldest copy. The revision goes back with it,
+// so later revisions are assigned a second time.
+func (s *store) restoreCopy() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, ok := s.copies.oldest()
@@ -110,7 +110,7 @@
 	s.changed.Broadcast()
 }
 
-// notes are what the processes under test have written.
+// notes returns the values written by the processes under test.
 func (s *store) notes() map[string][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,8 +123,8 @@
 	return notes
 }
 
-// lapse removes the registry entries of servers that are not there.
-func (s *store) lapse(there map[string]bool) {
+// removeStale removes the registry entries of instances that are not in there.
+func (s *store) removeStale(there map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, key := range sortedKeys(s.items) {
@@ -254,7 +254,7 @@
 	for after == s.revision && time.Now().Before(limit) && r.Context().Err() == nil {
 		s.wait(time.Until(limit))
 	}
-	s.stampEra(w) // it may have gone back meanwhile
+	s.stampEra(w) // the store may have been restored meanwhile
 	if after < s.forgotten || after > s.revision {
 		w.WriteHeader(http.StatusGone)
 		return
@@ -268,7 +268,7 @@
 	answerJSON(w, answer)
 }
 
-// wait waits for a change, at most so long. It holds s.mu before and after.
+// wait waits for a change, but no longer than most. The caller holds s.mu.
 func (s *store) wait(most time.Duration) {
 	timer := time.AfterFunc(most, s.changed.Broadcast)
 	s.changed.Wait()
@@ -277,5 +277,5 @@
 
 func answerJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // a reader that left needs no answer
+	_ = json.NewEncoder(w).Encode(value) // fails only if the client has disconnected
 }
--- a/internal/soak/world_test.go
+++ b/internal/soak/world_test.go
@@ -14,7 +14,8 @@
 	"nutmeglane.example/nutmeglane/internal/relay"
 )
 
-// The deployment: enough routers and engines for each to lose some.
+// Size, times and ports of the deployment. It has enough routers and engines to lose
+// some of each.
 const (
 	routerCount = 3
 	engineCount = 4
@@ -22,12 +23,12 @@
 	// stopLimit is the time from SIGTERM to SIGKILL.
 	stopLimit = 4 * time.Second
 	drain     = 2 * time.Second
-	// Ports are the same on all hosts; each host has an address of its own in
-	// the loopback range. What routers dial are relays in front.
+	// Ports are the same on all hosts; each host has its own address in the
+	// loopback range. Routers dial relays in front of the servers.
 	callersPort, readyPort, operatorsPort = 8080, 8081, 9464
 	storePort, serverPort, loaderPort     = 8100, 9000, 7380
-	// behind is added to the port of what stands behind a relay.
-	behind = 1
+	// relayOffset is added to the port of a server behind a relay.
+	relayOffset = 1
 )
 
 // world is a running deployment.
@@ -35,7 +36,7 @@
 	t       *testing.T
 	dir     string
 	net     string
-	referee *referee
+	checker *checker
 	store   *store
 	// links are the relays by name.
 	links    map[string]*relay.Relay
@@ -45,12 +46,12 @@
 	loaders  []*process
 	platform *http.Server
 	version  int
-	// newest is the version for callers, who use its keys.
+	// newest is the newest configuration version; callers use its keys.
 	newest atomic.Int64
 }
 
-// newWorld starts a deployment. Its network number is drawn by the seed, and
-// the process's own, so that two soaks on one machine do not meet.
+// newWorld starts a deployment. Its network number depends on the seed and the
+// process id, so that two runs on one machine don't share addresses.
 func newWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
 	dir, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
@@ -58,7 +59,7 @@
 		t.Fatal(err)
 	}
 	w := &world{
-		t: t, dir: dir, referee: newReferee(), store: newStore(), links: map[string]*relay.Relay{},
+		t: t, dir: dir, checker: newChecker(), store: newStore(), links: map[string]*relay.Relay{},
 		net: fmt.Sprintf("127.%d.%d", 20+os.Getpid()%200, 3*(seed%80)),
 	}
 	w.configure()
@@ -85,7 +86,7 @@
 // host returns a host's IP number: group 1 routers, 2 engines, 3 plain services.
 func (w *world) host(group, i int) string { return fmt.Sprintf("%s.%d", w.net, 1+group*16+i) }
 
-// link puts a relay at host:port in front of target.
+// link starts a relay to target at host:port.
 func (w *world) link(name, host string, port int, target string) {
 	r, err := relay.New(fmt.Sprintf("%s:%d", host, port), relay.DialTo(target))
 	w.check(err)
@@ -103,28 +104,28 @@
 func (w *world) startEngine(i int) {
 	host := w.host(2, i)
 	name := fmt.Sprintf("engine%d", i)
-	at := fmt.Sprintf("%s:%d", host, serverPort+behind)
+	at := fmt.Sprintf("%s:%d", host, serverPort+relayOffset)
 	b := &backend{
 		name: name, service: "llm", zone: fmt.Sprintf("z%d", i%2), listen: at,
-		address: fmt.Sprintf("%s:%d", host, serverPort), store: w.store, referee: w.referee,
-		engine: &engine{name: name, referee: w.referee},
+		address: fmt.Sprintf("%s:%d", host, serverPort), store: w.store, checker: w.checker,
+		engine: &engine{name: name, checker: w.checker},
 	}
 	w.link(name, host, serverPort, at)
-	w.link("loader"+name, host, loaderPort, fmt.Sprintf("%s:%d", host, loaderPort+behind))
+	w.link("loader"+name, host, loaderPort, fmt.Sprintf("%s:%d", host, loaderPort+relayOffset))
 	w.engines = append(w.engines, b)
 	w.check(b.start())
 	w.loaders = append(w.loaders, w.startProcess("loader", "loader-"+name, fmt.Sprintf(`{
 		"role": "loader", "host": "loader-%s", "address": "%s", "zone": "z", "peers": "%s:%d",
 		"engine": "%s", "operators": "%s:%d", "stopLimit": "%s",
-	}`, name, host, host, loaderPort+behind, at, host, operatorsPort, stopLimit)))
+	}`, name, host, host, loaderPort+relayOffset, at, host, operatorsPort, stopLimit)))
 }
 
 func (w *world) startPlain(i int) {
 	host := w.host(3, i)
 	b := &backend{
 		name: fmt.Sprintf("plain%d", i), service: "records", zone: fmt.Sprintf("z%d", i%2),
-		listen:  fmt.Sprintf("%s:%d", host, serverPort+behind),
-		address: fmt.Sprintf("%s:%d", host, serverPort), store: w.store, referee: w.referee,
+		listen:  fmt.Sprintf("%s:%d", host, serverPort+relayOffset),
+		address: fmt.Sprintf("%s:%d", host, serverPort), store: w.store, checker: w.checker,
 	}
 	w.link(b.name, host, serverPort, b.listen)
 	w.plains = append(w.plains, b)
@@ -153,10 +154,10 @@
 	return p
 }
 
-// backends are all backend servers.
+// backends returns all backend servers.
 func (w *world) backends() []*backend { return append(append([]*backend{}, w.engines...), w.plains...) }
 
-// instances are the backend servers that write their registry entries.
+// instances returns the instances that currently write a registry entry.
 func (w *world) instances() map[string]bool {
 	there := map[string]bool{}
 	for _, b := range w.backends() {
@@ -165,12 +166,12 @@
 	return there
 }
 
-// processes are all processes under test.
+// processes returns all processes under test.
 func (w *world) processes() []*process {
 	return append(append([]*process{}, w.routers...), w.loaders...)
 }
 
-// close ends all that was started.
+// close stops everything that newWorld started.
 func (w *world) close() {
 	w.store.setMode(storeWorks)
 	for _, p := range w.processes() {
@@ -186,15 +187,16 @@
 	_ = w.platform.Close()
 }
 
-// configure writes the next version. Each has a route of its own beside those
-// that callers use, which shows whether a router has it in force.
+// configure writes the next configuration version. Each version has an additional
+// route of its own, which shows whether a router has that version in force.
 func (w *world) configure() {
 	w.version += 1 + rand.IntN(3)
 	w.writeConfig()
 	w.newest.Store(int64(w.version))
 }
 
-// writeConfig writes the newest version, also once more after the store went back.
+// writeConfig writes the newest configuration version. It is called again after the
+// store has been restored from an older copy.
 func (w *world) writeConfig() {
 	w.store.put("op/config", map[string]any{
 		"version": w.version,
