--- a/internal/router/spread.go
+++ b/internal/router/spread.go
@@ -17,11 +17,9 @@
 
 const (
 	// targetLoad is the fraction of an engine's time, or of its slots, that one model's
-	// requests may take before the model gets a further copy. Mean scores over 6 days x 2
-	// seeds on each of two deployments: 0.15 0.578 and 0.596, 0.3 0.671 and 0.632, 0.45
-	// 0.707 and 0.639, 0.7 0.715 and 0.635. With lower values copies take the memory of
-	// rare models, whose swaps then keep engines busy; 0.6 lies on the flat part of the
-	// curve. (The score for 0.15 is without the retirement of models in use.)
+	// requests may take before the model gets a further copy. Below 0.45, copies take the
+	// memory of rare models, whose swaps then keep engines busy; from 0.45 to 0.7 the value
+	// makes little difference.
 	targetLoad = 0.6
 	// minBusyRate is the minimum arrivals per second of a busy model, so that in a nearly
 	// idle fleet a few calls do not cause copies.
--- a/internal/router/starved.go
+++ b/internal/router/starved.go
@@ -18,10 +18,8 @@
 	// starvedFrom is the wait for the processor from which requests are refused,
 	// starvedFully that from which all are. Between them the refused part rises linearly,
 	// so that the load settles instead of oscillating. Hosts with a seventh of a core wait
-	// below 17 ms after bursts and 20 to 84 ms in them, while answers of servers reached
-	// callers up to 0.9 s late. Shedding raised the score of a day at high load on 27 such
-	// and larger hosts from 0.43 to 0.66 (one run each), and time-outs were answered in
-	// time.
+	// below 17 ms after bursts and 20 to 84 ms in them; without shedding, answers of servers
+	// then reach callers up to 0.9 s late.
 	starvedFrom  = 20 * time.Millisecond
 	starvedFully = 100 * time.Millisecond
 	// starvedRetryAfter is the Retry-After of such a refusal: another host serves the
