--- a/internal/wire/accept.go
+++ b/internal/wire/accept.go
@@ -16,7 +16,7 @@
 // Path is the HTTP path at which connections are accepted.
 const Path = "/wire"
 
-// Handler returns the accepting side, to be mounted at Path.
+// Handler returns the handler that accepts connections, to be mounted at Path.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, n.accept)
@@ -24,14 +24,13 @@
 }
 
 func (n *Node) accept(w http.ResponseWriter, r *http.Request) {
-	// Guards against a reconnect storm: after a restart or a network fault all
-	// entries dial at once, handshakes time out, and their retries keep the
-	// storm alive ("put a token-bucket limit on new upgrades per node and
-	// reject excess with a fast HTTP 503 before expensive work",
-	// PAPER-scaling-websocket-servers-dept-9d59). BenchmarkUpgrade shows what it
-	// does not save: over loopback a refused dial takes about as long as an
-	// accepted one, as both need a TCP connection. It saves what follows an
-	// upgrade: the connection's memory, Hello, Status and Resume.
+	// The token bucket guards against a reconnect storm: after a restart or a
+	// network fault all entries dial at once, handshakes time out, and the retries
+	// sustain the storm. Excess upgrades are refused with a fast 503 before any
+	// expensive work. Over loopback a refused dial takes about as long as an
+	// accepted one, because both need a TCP connection (BenchmarkUpgrade). What a
+	// refusal saves is what follows an upgrade: the connection's memory, Hello,
+	// Status and Resume.
 	if !n.upgrades.Allow() {
 		n.opts.Metrics.UpgradeRefused()
 		n.refuse(w, code.TooManyUpgrades)
@@ -44,7 +43,7 @@
 	}
 	h := &handshake{cancel: func() {}}
 	n.mu.Lock()
-	open := n.begin(peer, h)
+	open := n.beginHandshake(peer, h)
 	n.mu.Unlock()
 	if !open {
 		n.refuse(w, code.Draining)
@@ -58,17 +57,17 @@
 	hijack := &hijacker{ResponseWriter: w, metrics: n.opts.Metrics}
 	conn, err := websocket.Accept(hijack, r, nil)
 	if err != nil {
-		n.abandon(peer, h)
+		n.failHandshake(peer, h)
 		return
 	}
 	l := newLink(n, peer, incarnation, conn, hijack.conn)
-	if !n.adopt(h, l) {
+	if !n.finishHandshake(h, l) {
 		l.discard()
 	}
 }
 
-// refuse answers 503 with the time, in seconds, after which the bucket has a
-// token again.
+// refuse responds with 503 and a Retry-After of the time, in seconds, in which the
+// bucket gains a token.
 func (n *Node) refuse(w http.ResponseWriter, reason code.Code) {
 	wait := math.Ceil(1 / float64(n.opts.UpgradeRate))
 	w.Header().Set("Retry-After", strconv.Itoa(int(max(1, wait))))
--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -6,15 +6,15 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// maxBatch is the size in bytes at which a batch takes no further message. It
-// also bounds how long a ping waits for the write in progress, unless a single
-// larger message is being written.
+// maxBatch is the maximum size in bytes of a batch of several messages. It also
+// bounds how long a ping waits for the write in progress, except during the write
+// of a single larger message.
 const maxBatch = 64 << 10
 
 // ErrBadMessage marks a batch that can't be decoded.
 var ErrBadMessage = errors.New("wire: message can't be decoded")
 
-// decodeBatch reads a CBOR sequence of messages. It returns either all of them
+// decodeBatch decodes a CBOR sequence of messages. It returns either all of them
 // or an error that wraps ErrBadMessage.
 func decodeBatch(data []byte) ([]core.Message, error) {
 	var batch []core.Message
--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -11,8 +11,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// BenchmarkFrames sends frames of four tokens over one connection, in windows
-// that keep the queue below its bound, as Credit does.
+// BenchmarkFrames sends frames of four tokens over one connection. Like Credit, a
+// window keeps the queue below its bound.
 func BenchmarkFrames(b *testing.B) {
 	const tokensPerFrame, window = 4, 1024
 	entry, agent := newPair(b, Options{})
@@ -52,8 +52,8 @@
 	b.ReportMetric(float64(waited.Microseconds())/float64(b.N), "µs-wait/op")
 }
 
-// BenchmarkIdleConnections reports the memory of one idle connection, both
-// ends together, and the bytes both ends write per second and connection.
+// BenchmarkIdleConnections reports the memory of one idle connection and the bytes
+// written on it per ping interval, both for the two ends together.
 func BenchmarkIdleConnections(b *testing.B) {
 	for _, count := range []int{100, 1000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -100,8 +100,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkUpgrade compares an accepted upgrade with a refused one, both over
-// a fresh TCP connection.
+// BenchmarkUpgrade compares an accepted upgrade with a refused one, both over a
+// new TCP connection, and measures the handler of a refusal alone.
 func BenchmarkUpgrade(b *testing.B) {
 	b.Run("accepted", func(b *testing.B) {
 		entry, agent := newPair(b, Options{UpgradeRate: 1e9, UpgradeBurst: 1e9})
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -13,7 +13,8 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// dial starts a handshake with a peer unless one with the address is under way.
+// dial starts a handshake with a peer unless one with the same address is in
+// progress.
 func (n *Node) dial(peer core.HostID, address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -22,7 +23,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), n.opts.DialTimeout)
 	h := &handshake{address: address, cancel: cancel}
-	if !n.begin(peer, h) {
+	if !n.beginHandshake(peer, h) {
 		cancel()
 		return
 	}
@@ -34,10 +35,10 @@
 	l, err := n.handshake(ctx, peer, h.address)
 	if err != nil {
 		n.opts.Log.Debug("dial failed", "peer", peer, "address", h.address, "error", err)
-		n.abandon(peer, h)
+		n.failHandshake(peer, h)
 		return
 	}
-	if !n.adopt(h, l) {
+	if !n.finishHandshake(h, l) {
 		l.discard()
 	}
 }
@@ -48,8 +49,9 @@
 	if n.opts.TLS != nil {
 		tlsConfig = n.opts.TLS()
 	}
-	// One transport per dial: connections are not pooled, and the dialler's
-	// own context ends it also where the transport would let it run on.
+	// Each dial has its own transport, because connections are not pooled. The TCP
+	// dial uses ctx directly, so that it ends with ctx even where the transport
+	// would let it continue.
 	transport := &http.Transport{
 		DisableKeepAlives: true,
 		TLSClientConfig:   tlsConfig,
@@ -71,8 +73,8 @@
 	}
 	host, incarnation, err := parseIdentity(response.Header)
 	if err == nil && host != peer {
-		// Guards against a replaced host whose address went to another one:
-		// requests would reach a process that does not own the slot.
+		// The address of a replaced host may have been assigned to another host.
+		// Requests would reach a process that does not own the slot.
 		err = errors.Newf("dialled %s, but %s answered", peer, host)
 	}
 	if err != nil {
@@ -92,7 +94,7 @@
 	return scheme + address + Path
 }
 
-// Headers of the handshake's request and response.
+// Headers of the handshake request and response that identify the sender.
 const (
 	HeaderHost        = "Nutmeglane-Host"
 	HeaderIncarnation = "Nutmeglane-Incarnation"
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -14,36 +14,38 @@
 
 // Causes of closing a connection.
 var (
-	errStuck    = errors.New("wire: peer does not read, queue is full")
-	errSilent   = errors.New("wire: pings are not answered")
-	errTooLarge = errors.New("wire: message exceeds MaxMessage")
-	errEnded    = errors.New("wire: connection ended")
+	errStuck      = errors.New("wire: peer does not read, queue is full")
+	errUnanswered = errors.New("wire: pings are not answered")
+	errTooLarge   = errors.New("wire: message exceeds MaxMessage")
+	errClosed     = errors.New("wire: connection ended")
 )
 
-// link is one established connection. While it is not aborted its reader runs,
-// so that Node.tasks is above zero and may be added to during Close.
+// link is one established connection. Its reader runs until the link is aborted, so
+// that Node.tasks is above zero and goroutines can be added during Close.
 type link struct {
 	node        *Node
 	peer        core.HostID
 	incarnation core.Incarnation
 	conn        *websocket.Conn
-	// tcp lies below conn. Closing it ends all reads and writes at once.
+	// tcp is the connection below conn. Closing it ends all reads and writes
+	// immediately.
 	tcp *meteredConn
-	// dialled is set at the end that dialled.
+	// dialled is set if this process dialled.
 	dialled bool
 
 	mu      sync.Mutex
 	queue   queue
 	writing bool
-	// shutting is set once the link is to be closed behind its queue, closing
-	// while the closing handshake runs.
-	shutting  *websocket.CloseError
-	closing   bool
-	aborted   bool
-	cause     error
-	pingTimer *time.Timer
-	// readsSeen are the reads of tcp as of the last look for silence.
-	readsSeen int64
+	// closeRequest is set once the link is to be closed after its queue is written;
+	// closing is set when the closing handshake starts.
+	closeRequest *websocket.CloseError
+	closing      bool
+	aborted      bool
+	cause        error
+	pingTimer    *time.Timer
+	// checkedReads is the number of reads of tcp at the last check for received
+	// data.
+	checkedReads int64
 }
 
 func newLink(n *Node, peer core.HostID, incarnation core.Incarnation, conn *websocket.Conn, tcp *meteredConn) *link {
@@ -51,8 +53,8 @@
 	return &link{node: n, peer: peer, incarnation: incarnation, conn: conn, tcp: tcp}
 }
 
-// abort ends the connection without a closing handshake. It never blocks; the
-// reader notices and reports the loss with the first cause given.
+// abort closes the connection without a closing handshake. It never blocks. The
+// reader then fails and reports the loss with the cause of the first abort.
 func (l *link) abort(cause error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,23 +73,23 @@
 	_ = l.tcp.Close()
 }
 
-// discard frees what a link holds that is not in use any more.
+// discard closes a link that is not in use and releases its resources.
 func (l *link) discard() {
-	l.abort(errEnded)
+	l.abort(errClosed)
 	_ = l.conn.CloseNow()
 }
 
-// enqueue adds an encoded message and makes sure that a writer runs.
+// enqueue adds an encoded message to the queue and ensures that a writer runs.
 //
-// It guards against a peer that stopped reading: the queue would grow until
-// the process is out of memory. The queue's bound ends the connection, and
-// PeerDown follows. A peer that reads, however slowly, stays far below the
-// bound, because Credit limits the frames under way on each stream. Skipping
-// messages instead would break the promised order.
+// If the queue would exceed its bound, enqueue aborts the connection, and PeerDown
+// follows. Otherwise the queue for a peer that stopped reading would grow until the
+// process is out of memory. The queue for a peer that reads, even slowly, stays far
+// below the bound, because Credit limits the frames in flight on each stream.
+// Dropping messages instead would violate the order guarantee.
 func (l *link) enqueue(data []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.aborted || l.shutting != nil {
+	if l.aborted || l.closeRequest != nil {
 		return
 	}
 	if len(data) > l.node.opts.MaxMessage {
@@ -103,7 +105,7 @@
 	l.startWriter()
 }
 
-// startWriter holds l.mu.
+// startWriter starts a writer unless one runs. The caller holds l.mu.
 func (l *link) startWriter() {
 	if !l.writing {
 		l.writing = true
@@ -119,7 +121,8 @@
 
 var batchBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// maxPooledBuffer keeps the buffers of rare large messages out of the pool.
+// maxPooledBuffer is the capacity in bytes above which a buffer is not returned to
+// the pool. It keeps the buffers of rare large messages out of it.
 const maxPooledBuffer = 2 * maxBatch
 
 func releaseBuffer(buf *bytes.Buffer) {
@@ -128,20 +131,20 @@
 	}
 }
 
-// writeAll writes batches until the queue is empty, then closes the connection
-// if it is to be shut.
+// writeAll writes batches until the queue is empty, then closes the connection if
+// closeRequest is set.
 func (l *link) writeAll() {
 	buf := batchBuffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(buf)
 	for {
-		batch, shutting := l.nextBatch(buf)
+		batch, request := l.nextBatch(buf)
 		switch {
 		case len(batch) > 0:
 			if err := l.conn.Write(context.Background(), websocket.MessageBinary, batch); err != nil {
 				l.abort(err)
 			}
-		case shutting != nil:
-			l.closeConn(shutting.Code, shutting.Reason)
+		case request != nil:
+			l.closeConn(request.Code, request.Reason)
 			return
 		default:
 			return
@@ -149,41 +152,42 @@
 	}
 }
 
-// nextBatch returns an empty batch when the writer has to end.
+// nextBatch returns the next batch. If the queue is empty, it returns an empty batch
+// and closeRequest, and the writer has to end.
 func (l *link) nextBatch(buf *bytes.Buffer) ([]byte, *websocket.CloseError) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	buf.Reset()
 	batch := l.queue.takeBatch(buf.AvailableBuffer())
 	if len(batch) == 0 {
-		l.writing = l.shutting != nil
-		return nil, l.shutting
+		l.writing = l.closeRequest != nil
+		return nil, l.closeRequest
 	}
-	// Write does not copy here; it keeps a buffer that had to grow.
+	// If the batch needed a larger buffer, keep that one. Write does not copy.
 	if cap(batch) > buf.Cap() {
 		*buf = *bytes.NewBuffer(batch[:0])
 	}
 	return batch, nil
 }
 
-// shut closes the connection, with a code, behind the messages queued so far.
-// It returns at once.
-func (l *link) shut(code websocket.StatusCode, reason string) {
+// closeAfterQueue requests that the connection be closed with a code after the
+// messages queued so far are written. It does not block.
+func (l *link) closeAfterQueue(code websocket.StatusCode, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.aborted || l.shutting != nil {
+	if l.aborted || l.closeRequest != nil {
 		return
 	}
-	l.shutting = &websocket.CloseError{Code: code, Reason: reason}
+	l.closeRequest = &websocket.CloseError{Code: code, Reason: reason}
 	l.startWriter()
 }
 
-// closeConn does the closing handshake, at most for closeTimeout.
+// closeConn performs the closing handshake within closeTimeout.
 func (l *link) closeConn(code websocket.StatusCode, reason string) {
 	l.mu.Lock()
 	l.closing = true
 	l.mu.Unlock()
-	timer := time.AfterFunc(closeTimeout, func() { l.abort(errEnded) })
+	timer := time.AfterFunc(closeTimeout, func() { l.abort(errClosed) })
 	defer timer.Stop()
 	_ = l.conn.Close(code, reason)
 }
@@ -194,7 +198,7 @@
 	l.mu.Lock()
 	err = errors.CombineErrors(l.cause, err)
 	l.mu.Unlock()
-	l.node.lost(l, err)
+	l.node.connectionLost(l, err)
 	if errors.Is(err, ErrBadMessage) {
 		l.node.opts.Metrics.BadMessage()
 		l.closeConn(websocket.StatusPolicyViolation, "message can't be decoded")
@@ -220,7 +224,8 @@
 	if kind != websocket.MessageBinary {
 		return nil, errors.Wrap(ErrBadMessage, "text message")
 	}
-	// Taken after Reader returned, so that an idle connection holds none.
+	// The buffer is taken after Reader has returned, so that an idle connection
+	// holds none.
 	buf := batchBuffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(buf)
 	buf.Reset()
@@ -238,38 +243,39 @@
 
 func (l *link) schedulePingLocked() {
 	if !l.aborted && !l.closing {
-		pause := l.node.opts.pingPause(int(l.node.open.Load()))
+		pause := l.node.opts.pingDelay(int(l.node.linkCount.Load()))
 		l.pingTimer = time.AfterFunc(pause, l.startPing)
 	}
 }
 
-// startPing pings, unless the peer does: the end that accepted the connection hears the
-// other's pings, and pings itself only where they stop. Pinged by both ends, idle
-// connections cost a process beside many peers twice as much.
+// startPing starts a ping, except at the accepting end while data arrives: that end
+// receives the dialling end's pings and sends its own only when they stop. With pings
+// from both ends, idle connections would cost a process with many peers twice as much.
 func (l *link) startPing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.aborted || l.closing:
-	case !l.dialled && l.heardLately():
+	case !l.dialled && l.readSinceLastCheck():
 		l.schedulePingLocked()
 	default:
 		l.node.tasks.Go(l.ping)
 	}
 }
 
-// heardLately tells whether anything came since the last look. It holds l.mu.
-func (l *link) heardLately() bool {
+// readSinceLastCheck reports whether any data was received since the last call. The
+// caller holds l.mu.
+func (l *link) readSinceLastCheck() bool {
 	reads := l.tcp.reads.Load()
-	heard := reads != l.readsSeen
-	l.readsSeen = reads
-	return heard
+	received := reads != l.checkedReads
+	l.checkedReads = reads
+	return received
 }
 
-// pingTimeout is how long a pong is waited for. An end that accepted the connection has
-// heard nothing for an interval before it pings.
+// pingTimeout is how long ping waits for the pong. It is one interval shorter at the
+// accepting end, which pings only after an interval without data.
 func (l *link) pingTimeout() time.Duration {
-	intervals := unansweredIntervals
+	intervals := maxUnansweredIntervals
 	if !l.dialled {
 		intervals--
 	}
@@ -278,28 +284,28 @@
 
 // ping sends one ping and waits for its pong.
 //
-// It guards against a connection that went silent: something on the path lost
-// track of it, TCP keeps it open at both ends, and requests on it would wait
-// until their deadlines while new connections work. Only a pong counts as an
-// answer, because with one direction lost the other may still bring data. A
-// full queue can't hold a ping up, as it waits for the batch in progress only;
-// a peer that does not even take that batch within the time-out is cut too.
+// It detects a connection that is lost without an error: a device on the path drops
+// its state, TCP keeps the connection open at both ends, and requests on it would
+// wait until their deadlines although new connections work. Only a pong counts as an
+// answer, because data may still arrive if only one direction is lost. A full queue
+// does not delay a ping, which waits only for the batch in progress. The connection
+// of a peer that does not read that batch within the timeout is aborted too.
 func (l *link) ping() {
 	ctx, cancel := context.WithTimeout(context.Background(), l.pingTimeout())
 	defer cancel()
 	if err := l.conn.Ping(ctx); err != nil {
-		l.unanswered()
+		l.pingFailed()
 		return
 	}
 	l.schedulePing()
 }
 
-// unanswered leaves a closing handshake alone: it has its own time-out, and no
-// ping can be sent after it began.
-func (l *link) unanswered() {
+// pingFailed aborts the connection unless the closing handshake has started. The
+// handshake has its own timeout, and no ping can be sent after it has started.
+func (l *link) pingFailed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closing {
-		l.abortLocked(errSilent)
+		l.abortLocked(errUnanswered)
 	}
 }
--- a/internal/wire/meter.go
+++ b/internal/wire/meter.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// meteredConn counts the bytes of a TCP connection.
+// meteredConn is a TCP connection that counts the bytes read and written.
 type meteredConn struct {
 	net.Conn
 	metrics Metrics
-	// reads counts the reads that brought something.
+	// reads counts the reads that returned data.
 	reads atomic.Int64
 }
 
@@ -34,9 +34,9 @@
 	return n, err
 }
 
-// hijacker lets the WebSocket library take over a metered connection and
-// remembers it: closing it directly is the one way to end a stuck write that
-// blocks nobody.
+// hijacker passes a metered connection to the WebSocket library and stores it in
+// conn. Closing conn directly is the only way to end a blocked write without
+// blocking the caller.
 type hijacker struct {
 	http.ResponseWriter
 	metrics Metrics
--- a/internal/wire/node.go
+++ b/internal/wire/node.go
@@ -13,40 +13,40 @@
 	"nutmeglane.example/nutmeglane/internal/core"
 )
 
-// errSuperseded is the cause of closing a connection that was replaced or hung
-// up.
-var errSuperseded = errors.New("wire: connection is no longer wanted")
+// errSuperseded is the cause of closing a connection that was replaced or closed by
+// a Hangup.
+var errSuperseded = errors.New("wire: connection was replaced or hung up")
 
 // Node holds the connections of one process, at most one per peer.
 type Node struct {
 	opts Options
 	post func(core.Event)
-	// upgrades is the token bucket of accepted connections.
+	// upgrades is the token bucket that limits accepted connections.
 	upgrades *rate.Limiter
 	// tasks counts the goroutines that Close waits for.
 	tasks sync.WaitGroup
-	// open is the number of links, for those who don't hold mu.
-	open atomic.Int64
+	// linkCount is the number of links. It can be read without mu.
+	linkCount atomic.Int64
 
-	// mu guards the fields below and is held while events are posted. That
-	// gives them one order: once a connection is no longer in links, nothing
-	// of it is posted.
+	// mu guards the fields below and is held while events are posted, which
+	// orders them: once a connection has been removed from links, none of its
+	// events are posted.
 	mu      sync.Mutex
 	closed  bool
 	links   map[core.HostID]*link
 	pending map[core.HostID]*handshake
 }
 
-// handshake is a connection being set up. Only the newest one of a peer may
-// become its connection.
+// handshake is a connection that is being established. Only the newest handshake
+// with a peer may become its connection.
 type handshake struct {
 	// address is empty on the accepting side.
 	address string
 	cancel  context.CancelFunc
 }
 
-// New returns a node without connections. It reports events through post,
-// which must not block and must not call the node. Call Close in the end.
+// New returns a node without connections. The node reports events through post,
+// which must not block and must not call the node. The caller has to call Close.
 func New(opts Options, post func(core.Event)) *Node {
 	opts = opts.withDefaults()
 	return &Node{
@@ -58,8 +58,8 @@
 	}
 }
 
-// Do starts a Dial, Hangup or Send effect and reports whether the effect is
-// one of these. It never waits for the network and posts nothing itself.
+// Do starts a Dial, Hangup or Send effect and reports whether the effect is one of
+// these. It never waits for the network and does not call post itself.
 func (n *Node) Do(effect core.Effect) bool {
 	switch e := effect.(type) {
 	case core.Dial:
@@ -78,27 +78,28 @@
 	n.SendAll([]core.HostID{to}, message)
 }
 
-// SendAll sends a message to peers, as a Send effect to each would, but encodes it
-// once: a process that tells 68 peers the same spends most of its time on that.
+// SendAll sends a message to peers, like a Send effect for each, but encodes it only
+// once. For a process with 68 peers, encoding a message for each of them would take
+// most of its time.
 func (n *Node) SendAll(to []core.HostID, message core.Message) {
-	links := n.connected(to)
+	links := n.linksTo(to)
 	if len(links) == 0 {
 		return
 	}
-	// Encoded here and not by the writer, because the message may share slices
-	// with the reducer's state, which changes as soon as this returns.
+	// The message is encoded here and not by the writer, because it may share slices
+	// with the reducer's state, which may change once SendAll returns.
 	data, err := core.EncodeMessage(message)
 	for _, l := range links {
 		if err != nil {
-			l.abort(errors.Wrap(err, "message can't be sent"))
+			l.abort(errors.Wrap(err, "message can't be encoded"))
 			continue
 		}
 		l.enqueue(data)
 	}
 }
 
-// connected returns the connections to those peers that have one.
-func (n *Node) connected(peers []core.HostID) []*link {
+// linksTo returns the links to those of the peers that have one.
+func (n *Node) linksTo(peers []core.HostID) []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -118,14 +119,14 @@
 	defer n.mu.Unlock()
 	n.cancelPending(peer)
 	if l := n.remove(peer); l != nil {
-		l.shut(websocket.StatusNormalClosure, "hangup")
+		l.closeAfterQueue(websocket.StatusNormalClosure, "hangup")
 		time.AfterFunc(closeTimeout, func() { l.abort(errSuperseded) })
 	}
 }
 
-// begin makes a handshake the newest of its peer and reports false when the
-// node is closed. It holds n.mu.
-func (n *Node) begin(peer core.HostID, h *handshake) bool {
+// beginHandshake makes a handshake the newest of its peer. It returns false if the
+// node is closed. The caller holds n.mu.
+func (n *Node) beginHandshake(peer core.HostID, h *handshake) bool {
 	if n.closed {
 		return false
 	}
@@ -141,18 +142,18 @@
 	}
 }
 
-// adopt makes l the connection of its peer, in place of the one before, and
-// starts it. It reports false when the handshake is not the newest any more.
+// finishHandshake makes l the connection of its peer, replaces the previous one and
+// starts l. It returns false if the handshake is not the newest one any more.
 //
-// It guards against a late Start: an entry that lost a connection resumes on a
-// new one and may be told NotStarted, while a Start still sits unread in the
-// buffers of the old connection. Read later, it would run a request that was
-// promised not to run. The old connection leaves links in the step that posts
-// the new PeerUp, and receive checks links under the same lock. A handshake
-// that finished late can't displace a newer one, because the dialler began the
-// newer one only after the older had ended for it, and begin runs before the
-// answer that ends it.
-func (n *Node) adopt(h *handshake, l *link) bool {
+// It guards against a late Start. An entry that lost a connection resumes on a new
+// one and may receive NotStarted while a Start is still unread in the buffers of the
+// old connection. If it were read later, a request would run that was reported as
+// never to run. Therefore the old connection is removed from links under the lock
+// under which the new PeerUp is posted, and receive checks links under the same
+// lock. A handshake that finishes late can't replace a newer one, because the
+// dialling end starts the newer one only after the older one has ended at that end,
+// and beginHandshake runs before the response that ends it.
+func (n *Node) finishHandshake(h *handshake, l *link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.pending[l.peer] != h {
@@ -164,7 +165,7 @@
 		old.abort(errSuperseded)
 	}
 	n.links[l.peer] = l
-	n.open.Add(1)
+	n.linkCount.Add(1)
 	n.opts.Metrics.Connections(1)
 	n.opts.Log.Info("connection up", "peer", l.peer, "incarnation", uint64(l.incarnation))
 	n.post(core.PeerUp{Peer: l.peer, Incarnation: l.incarnation})
@@ -173,21 +174,23 @@
 	return true
 }
 
-// remove takes the peer's connection out of links. It holds n.mu.
+// remove removes the peer's connection from links and returns it, or nil if there
+// is none. The caller holds n.mu.
 func (n *Node) remove(peer core.HostID) *link {
 	l := n.links[peer]
 	if l == nil {
 		return nil
 	}
 	delete(n.links, peer)
-	n.open.Add(-1)
+	n.linkCount.Add(-1)
 	n.opts.Metrics.Connections(-1)
 	return l
 }
 
-// abandon ends a handshake that failed. A failed dial also ends the connection
-// that it was to replace, so that PeerDown always means that none is left.
-func (n *Node) abandon(peer core.HostID, h *handshake) {
+// failHandshake ends a handshake that failed. A failed dial also aborts the
+// connection that it was to replace, so that PeerDown always means that there is no
+// connection.
+func (n *Node) failHandshake(peer core.HostID, h *handshake) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.pending[peer] != h {
@@ -203,8 +206,8 @@
 	n.post(core.PeerDown{Peer: peer})
 }
 
-// receive posts messages in order. It drops them when the connection was
-// replaced, hung up or closed meanwhile.
+// receive posts messages in order. It drops them if the connection was replaced or
+// hung up or the node was closed since they were read.
 func (n *Node) receive(l *link, batch []core.Message) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -216,11 +219,11 @@
 	}
 }
 
-// lost posts PeerDown if l still is the connection of its peer. While a dial
-// is under way the dial's end says whether a connection is left: the peer
-// closes the old connection as soon as it has the new one, and a PeerDown in
-// between would make the reducer dial once more.
-func (n *Node) lost(l *link, cause error) {
+// connectionLost posts PeerDown if l still is the connection of its peer. While a
+// dial is in progress it posts nothing, because the result of the dial determines
+// whether there is a connection: the peer closes the old connection as soon as it
+// has the new one, and a PeerDown in between would make the reducer dial again.
+func (n *Node) connectionLost(l *link, cause error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.links[l.peer] != l {
@@ -235,10 +238,11 @@
 	n.post(core.PeerDown{Peer: l.peer, Planned: planned})
 }
 
-// Close ends the node in a planned stop: it accepts and dials no more, posts
-// nothing more, writes out what is queued, closes with code 1012 (service
-// restart) and waits for all goroutines. When the context ends first, the
-// remaining connections are cut and the context's error is returned.
+// Close shuts down the node for a planned stop. The node accepts and dials no more
+// connections and posts no more events. Close writes the queued messages, closes
+// the connections with code 1012 (service restart) and waits for all goroutines. If
+// the context is done first, the remaining connections are aborted and the
+// context's error is returned.
 func (n *Node) Close(ctx context.Context) error {
 	n.mu.Lock()
 	n.closed = true
@@ -248,7 +252,7 @@
 	links := make([]*link, 0, len(n.links))
 	for _, l := range n.links {
 		links = append(links, l)
-		l.shut(websocket.StatusServiceRestart, "service restart")
+		l.closeAfterQueue(websocket.StatusServiceRestart, "service restart")
 	}
 	n.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() {
@@ -261,7 +265,7 @@
 	return ctx.Err()
 }
 
-// PeerState is the dump of one peer.
+// PeerState is the state of one peer in the operators' state dump.
 type PeerState struct {
 	Up          bool             `json:"up"`
 	Incarnation core.Incarnation `json:"incarnation,omitempty"`
--- a/internal/wire/options.go
+++ b/internal/wire/options.go
@@ -21,51 +21,51 @@
 	DefaultMaxQueue     = 16 << 20
 )
 
-// unansweredIntervals is the number of ping intervals without a pong after
-// which a connection counts as silent.
-const unansweredIntervals = 3
+// maxUnansweredIntervals is the number of ping intervals without a pong after
+// which a connection is regarded as lost.
+const maxUnansweredIntervals = 3
 
-// closeTimeout bounds writing out the queue and the closing handshake of a
-// connection that is closed in an orderly way.
+// closeTimeout bounds the time to write the queue of a connection that is closed by
+// a Hangup, and the time of a closing handshake.
 const closeTimeout = 2 * time.Second
 
-// Options configures a Node. Zero fields, but Host and Incarnation, have
-// defaults.
+// Options configures a Node. Host and Incarnation are required; all other fields may
+// be left at their zero value.
 type Options struct {
 	// Host and Incarnation identify this process to its peers.
 	Host        core.HostID
 	Incarnation core.Incarnation
-	// PingInterval is the pause between two pings on a connection, by the end that
-	// dialled it; the other end pings when it hears nothing. A silent connection is
-	// found within unansweredIntervals+1 intervals.
+	// PingInterval is the time between two pings on a connection by the end that
+	// dialled it. The other end pings only if it receives nothing. A lost connection
+	// is detected within maxUnansweredIntervals+1 intervals.
 	PingInterval time.Duration
-	// PingRate, if not 0, bounds the pings per second on all connections together:
-	// beyond it the pause grows with their number, and the time in which a silent
-	// connection is found with it.
+	// PingRate, if not 0, bounds the pings per second on all connections together.
+	// With many connections the time between two pings grows with their number, and
+	// so does the time to detect a lost connection.
 	PingRate float64
-	// DialTimeout bounds a dial, with the handshake.
+	// DialTimeout bounds a dial, including the handshake.
 	DialTimeout time.Duration
-	// UpgradeRate (per second) and UpgradeBurst are the token bucket of
-	// accepted connections.
+	// UpgradeRate (per second) and UpgradeBurst configure the token bucket that
+	// limits accepted connections.
 	UpgradeRate  rate.Limit
 	UpgradeBurst int
-	// MaxMessage bounds one encoded message, in bytes. It must be the same at
-	// all processes, and above the largest request body with its headers.
+	// MaxMessage bounds one encoded message, in bytes. It must be the same in all
+	// processes and exceed the largest request body with its headers.
 	MaxMessage int
-	// MaxQueue bounds the bytes that wait on one connection.
+	// MaxQueue bounds the bytes queued on one connection.
 	MaxQueue int
-	// TLS, if set, returns the configuration of one dial, so that certificates
-	// can be replaced; the accepting side's belongs to the http.Server that the
-	// Handler is mounted on.
+	// TLS, if set, is called for the configuration of each dial, so that
+	// certificates can be replaced. The configuration of the accepting side belongs
+	// to the http.Server that serves the Handler.
 	TLS func() *tls.Config
 	// Metrics and Log may be nil.
 	Metrics Metrics
 	Log     *slog.Logger
 }
 
-// Metrics receives measurements. Its methods are called from many goroutines.
+// Metrics receives measurements. Its methods may be called from any goroutine.
 type Metrics interface {
-	// BytesIn and BytesOut count bytes on TCP connections, with all framing.
+	// BytesIn and BytesOut count bytes on TCP connections, including all framing.
 	BytesIn(n int)
 	BytesOut(n int)
 	// Connections adds to the number of established connections.
@@ -88,8 +88,9 @@
 func (noMetrics) BadMessage()     {}
 func (noMetrics) StuckPeer()      {}
 
-// pingPause is the pause between two pings on each of so many connections.
-func (o Options) pingPause(connections int) time.Duration {
+// pingDelay returns the time between two pings on each connection, given the number
+// of connections.
+func (o Options) pingDelay(connections int) time.Duration {
 	if o.PingRate <= 0 {
 		return o.PingInterval
 	}
--- a/internal/wire/queue.go
+++ b/internal/wire/queue.go
@@ -1,6 +1,6 @@
 package wire
 
-// queue holds encoded messages in order. Its owner locks it.
+// queue holds encoded messages in order. It is not safe for concurrent use.
 type queue struct {
 	items [][]byte
 	bytes int
@@ -11,8 +11,8 @@
 	q.bytes += len(item)
 }
 
-// takeBatch appends waiting messages to buf: the first, and more of them while
-// the batch stays within maxBatch.
+// takeBatch moves queued messages to buf: the first one, and more as long as the
+// batch does not exceed maxBatch.
 func (q *queue) takeBatch(buf []byte) []byte {
 	taken := 0
 	for _, item := range q.items {
